--- /dev/null
+++ b/tests/data/stored_joining.sql
@@ -0,0 +1,14 @@
+PRAGMA foreign_keys=OFF;
+BEGIN TRANSACTION;
+CREATE TABLE rows(key TEXT PRIMARY KEY, value TEXT, number INTEGER, gone INTEGER) WITHOUT ROWID;
+CREATE TABLE staged(key TEXT PRIMARY KEY, value TEXT, number INTEGER, gone INTEGER) WITHOUT ROWID;
+INSERT INTO staged VALUES('c','{"Revision":8,"Routes":[{"Hostname":"host-0.example","MaxStalenessMs":400,"Name":"route-0","PathPrefix":"/","RouteType":"primary","TargetService":"store","TimeoutMs":900},{"Hostname":"host-1.example","Name":"route-1","PathPrefix":"/","RouteType":"primary","TargetService":"store","TimeoutMs":700},{"Hostname":"host-2.example","MaxStalenessMs":400,"Name":"route-2","PathPrefix":"/","RouteType":"primary","TargetService":"store","TimeoutMs":902},{"Hostname":"host-3.example","MaxStalenessMs":400,"Name":"route-3","PathPrefix":"/","RouteType":"bounded","TargetService":"store","TimeoutMs":903},{"Hostname":"host-4.example","MaxStalenessMs":400,"Name":"route-4","PathPrefix":"/","RouteType":"primary","TargetService":"store","TimeoutMs":904},{"Hostname":"host-1.example","MaxAttempts":4,"Name":"split","PathPrefix":"/part/","Priority":3,"Public":true,"RouteType":"bounded","TargetLatencyMs":120,"TimeoutMs":500,"WeightedTargets":[{"TargetService":"store","Weight":9},{"TargetService":"archive","Weight":1}]}],"Services":[{"MaxConnections":12,"Name":"store","SyncReplicas":1},{"MaxConnections":3,"Name":"archive","SyncReplicas":0}],"Tenants":[{"ApiKeys":["key-1","key-2"],"BurstLimit":40,"Name":"acme","Priority":2,"RatePerS":12.5}]}',2,0);
+INSERT INTO staged VALUES('h','[8,3000,3000,15000,16384,1048576]',2,0);
+INSERT INTO staged VALUES('i/i-a1','["store","10.9.0.1:8144","north",12,0,1,1]',3,0);
+INSERT INTO staged VALUES('i/i-b2','["store","10.9.0.2:8144","south",12,0,0,1]',4,0);
+INSERT INTO staged VALUES('i/i-c3','["store","10.9.0.3:8144","west",12,1,0,4]',5,0);
+CREATE TABLE meta(key TEXT PRIMARY KEY, value TEXT) WITHOUT ROWID;
+INSERT INTO meta VALUES('durable','{"ab":0,"ai":0,"pb":0,"pi":0,"self":"10.3.0.4~2a8765a3","stage":{"b":9,"bk":"","c":"i/i-c3","e":false,"k":8,"kt":1,"w":true},"synced":0,"terms":[],"trimmed":0}');
+INSERT INTO meta VALUES('stored','0');
+INSERT INTO meta VALUES('view','{"h":1,"m":[["10.1.0.4",1],["10.2.0.4",1]],"n":2,"v":["10.1.0.4","10.2.0.4","10.3.0.4"]}');
+COMMIT;
