--- a/src/chain/node.h
+++ b/src/chain/node.h
@@ -217,7 +217,7 @@
   struct Peer {
     Millis heard = -1, since = -1;  // last heard; heard without a gap since
     std::uint64_t synced = 0, view = 0, learned = 0;
-    bool out = false;  // it has said that it takes no part
+    bool out = false;      // it has said that it takes no part
     bool parting = false;  // it has said that it wants to end
     Millis unseated_since = -1, out_of_step_since = -1;
     Millis granted = -1, granted_at = -1;  // here, and by the clock of the one who asked
--- a/src/keel/settings.h
+++ b/src/keel/settings.h
@@ -36,7 +36,7 @@
   Millis retry_window_ms = 10000;
   double retry_slack = 0;
 
-  Endpoint inner() const { return {ip, inner_first}; }  // cores and tenders meet here
+  Endpoint inner() const { return {ip, inner_first}; }                       // cores and tenders meet here
   Endpoint lighter() const { return {ip, std::uint16_t(inner_first + 2)}; }  // lighters meet here
   Endpoint feed() const { return {"127.0.0.1", std::uint16_t(inner_first + 1)}; }  // tender feeds its berth
 };
--- a/src/ordinance/chart.cc
+++ b/src/ordinance/chart.cc
@@ -56,7 +56,8 @@
 
 bool Chart::follow(const Ledger& ledger) {
   if (ledger.changes() == changes_ && ledger.lives() == lives_) return false;
-  // The ledger was taken anew, and its numbers may stand for other rows; or it no longer names all that is gone.
+  // The ledger was taken anew, and its numbers may stand for other rows; or it no longer names all that is
+  // gone.
   if (ledger.lives() != lives_ || number_ < ledger.trimmed()) {
     *this = Chart();
     lives_ = ledger.lives();
--- a/tests/chain_world.h
+++ b/tests/chain_world.h
@@ -131,7 +131,8 @@
   fleet.net.send(node ? node->self() : host, chain::host_of(to), m);
 }
 inline void Core::note(const std::string& t) {
-  if (std::getenv("CHAIN_NOTES")) std::printf("%lld %s: %s\n", (long long)fleet.net.now, host.c_str(), t.c_str());
+  if (std::getenv("CHAIN_NOTES"))
+    std::printf("%lld %s: %s\n", (long long)fleet.net.now, host.c_str(), t.c_str());
 }
 inline void Core::committed(std::uint64_t) {
   ++rises;
--- a/tests/delivery_test.cc
+++ b/tests/delivery_test.cc
@@ -1,5 +1,8 @@
-// The whole way of a configuration: operators that race and repeat themselves, cores, tenders and proxies as the
-// same code on a simulated network, single processes killed at any moment. After each step CONFIG is checked.
+// The whole way of a configuration: operators that race and repeat themselves, cores, tenders and proxies as
+// the same code on a simulated network, single processes killed at any moment. After each step CONFIG is
+// checked.
+#include "ordinance/delivery.h"
+
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -7,7 +10,6 @@
 #include "chain/node.h"
 #include "keel/constants.h"
 #include "ordinance/chart.h"
-#include "ordinance/delivery.h"
 #include "ordinance/ordinance.h"
 #include "sim_net.h"
 #include "tender/hold.h"
@@ -73,14 +75,17 @@
     for (int i = 0; i < 5; ++i) hosts.push_back("core" + std::to_string(i));
     for (auto& h : hosts) start(h, true);
     for (int i = 0; i < 3; ++i) machines.push_back({"m" + std::to_string(i), "", 0, {}, {}, 0, true, 0});
-    net.deliver = [this](const std::string& to, const std::string& from, const Json& m) { take(to, from, m); };
+    net.deliver = [this](const std::string& to, const std::string& from, const Json& m) {
+      take(to, from, m);
+    };
   }
   void start(const std::string& host, bool bootstrap = false) {
     auto& c = cores[host];
     if (!c) c = std::make_unique<Core>(*this, host);
     c->links.clear();
     c->node = std::make_unique<Node>(
-        Node::Start{host, {"core0", "core1", "core2"}, bootstrap, 2, std::uint64_t(net.rng()) << 20 | net.rng()},
+        Node::Start{
+            host, {"core0", "core1", "core2"}, bootstrap, 2, std::uint64_t(net.rng()) << 20 | net.rng()},
         c->disk, *c, net.now);
   }
   void take(const std::string& to, const std::string& from, const Json& m) {
@@ -215,7 +220,8 @@
       if (!o.revision && w.net.chance(0.3)) {
         for (auto& m : w.machines) newest = std::max(newest, m.chart.config().revision);
         o = {newest, top += 1 + std::uint64_t(w.net.pick(3)), false, 0, 0};
-        w.bodies[o.revision] = body_of(o.revision, o.revision * 7, w.net.chance(0.2) ? 30 : 3 + w.net.pick(9));
+        w.bodies[o.revision] =
+            body_of(o.revision, o.revision * 7, w.net.chance(0.2) ? 30 : 3 + w.net.pick(9));
       }
       if (o.revision && !o.done && w.net.now >= o.next) offer(o);
     }
@@ -251,7 +257,8 @@
         w.net.cuts.clear();
         break;
       }
-      default: break;
+      default:
+        break;
     }
     ASSERT_NO_FATAL_FAILURE(w.run(20 + w.net.pick(120)));
   }
--- a/tests/golden_messages_test.cc
+++ b/tests/golden_messages_test.cc
@@ -73,7 +73,8 @@
     explicit Core(Scenario& owner) : scenario(owner) {}
     void send(const std::string& to, const Json& message) override {
       scenario.record(message);
-      if (node) scenario.network_.push_back({scenario.now_ + kDelayMs, node->self(), chain::host_of(to), message});
+      if (node)
+        scenario.network_.push_back({scenario.now_ + kDelayMs, node->self(), chain::host_of(to), message});
     }
     chain::Verdict judge(const Ledger& ledger, const Json& update) override {
       return judge_update(ledger, update);
@@ -95,7 +96,8 @@
       const Sent next = network_.front();
       network_.pop_front();
       if (next.to == cut_off_ || chain::host_of(next.from) == cut_off_) continue;
-      if (auto& core = cores_[next.to]; core && core->node) core->node->receive(now_, next.from, next.message);
+      if (auto& core = cores_[next.to]; core && core->node)
+        core->node->receive(now_, next.from, next.message);
     }
   }
   // Messages are alike in shape when they have the same type and fields, and mean the same by them.
@@ -121,14 +123,15 @@
 std::string configuration() {
   const auto route = [](int i, const char* type) {
     const std::string number = std::to_string(i);
-    return Json{{"Name", "route-" + number},     {"Hostname", "host-" + number + ".example"},
-                {"TargetService", "store"},      {"RouteType", type},
-                {"TimeoutMs", 900 + i},          {"MaxStalenessMs", 400},
+    return Json{{"Name", "route-" + number}, {"Hostname", "host-" + number + ".example"},
+                {"TargetService", "store"},  {"RouteType", type},
+                {"TimeoutMs", 900 + i},      {"MaxStalenessMs", 400},
                 {"PathPrefix", "/"}};
   };
   Json routes = Json::array();
   for (int i = 0; i < 5; ++i) routes.push_back(route(i, i % 2 ? "bounded" : "primary"));
-  const Json targets{{{"TargetService", "store"}, {"Weight", 9}}, {{"TargetService", "archive"}, {"Weight", 1}}};
+  const Json targets{{{"TargetService", "store"}, {"Weight", 9}},
+                     {{"TargetService", "archive"}, {"Weight", 1}}};
   routes.push_back({{"Name", "split"},
                     {"Hostname", "host-1.example"},
                     {"PathPrefix", "/part/"},
@@ -146,12 +149,14 @@
                     {"RatePerS", 12.5},
                     {"BurstLimit", 40},
                     {"Priority", 2}};
-  return Json{{"Revision", 7}, {"Routes", routes}, {"Services", services}, {"Tenants", Json::array({tenant})}}.dump();
+  return Json{{"Revision", 7}, {"Routes", routes}, {"Services", services}, {"Tenants", Json::array({tenant})}}
+      .dump();
 }
 
 std::string patch() {
-  const Json route{{"Name", "route-1"},        {"Hostname", "host-1.example"}, {"TargetService", "store"},
-                   {"RouteType", "primary"},   {"TimeoutMs", 700},             {"PathPrefix", "/"}};
+  const Json route{{"Name", "route-1"},        {"Hostname", "host-1.example"},
+                   {"TargetService", "store"}, {"RouteType", "primary"},
+                   {"TimeoutMs", 700},         {"PathPrefix", "/"}};
   return Json{{"Revision", 8}, {"Upsert", {{"Routes", Json::array({route})}}}}.dump();
 }
 
@@ -249,7 +254,8 @@
     for (auto& [field, value] : message.items()) {
       Json wrong = message;
       wrong[field] = Json{{"no", "such"}};
-      const bool free_form = field == "st" || (field == "u" && message["t"] == "sub");  // checked where it is used
+      const bool free_form =
+          field == "st" || (field == "u" && message["t"] == "sub");  // checked where it is used
       EXPECT_EQ(chain::well_formed(wrong), free_form) << wrong;
     }
   }
--- a/tests/pooler_answers_test.cc
+++ b/tests/pooler_answers_test.cc
@@ -1,5 +1,5 @@
-// PoolerAnswers to their own callers, each suspicion by itself: the pool's connections, former borrowers, former
-// lives.
+// PoolerAnswers to their own callers, each suspicion by itself: the pool's connections, former borrowers,
+// former lives.
 #include "berth/news.h"
 #include "quay.h"
 
--- a/tests/stored_data_test.cc
+++ b/tests/stored_data_test.cc
@@ -17,7 +17,9 @@
 
 struct SilentOutlet : chain::Outlet {
   void send(const std::string&, const Json& message) override { sent.push_back(message); }
-  chain::Verdict judge(const Ledger& ledger, const Json& update) override { return judge_update(ledger, update); }
+  chain::Verdict judge(const Ledger& ledger, const Json& update) override {
+    return judge_update(ledger, update);
+  }
   void committed(std::uint64_t) override {}
   void note(const std::string&) override {}
   std::vector<Json> sent;
@@ -45,7 +47,8 @@
   }
   std::unique_ptr<chain::Node> start(SqliteDisk& disk, const std::string& host) {
     return std::make_unique<chain::Node>(
-        chain::Node::Start{host, {"10.1.0.4", "10.2.0.4", "10.3.0.4"}, false, 1, 99, 300}, disk, outlet_, 1000);
+        chain::Node::Start{host, {"10.1.0.4", "10.2.0.4", "10.3.0.4"}, false, 1, 99, 300}, disk, outlet_,
+        1000);
   }
   SilentOutlet outlet_;
 
