--- a/src/tender/tender.cc
+++ b/src/agent/agent.cc
@@ -1,38 +1,38 @@
-// The agent beside a berth: holds the machine's lease and the link to a core, and feeds the berth.
+// The agent beside a pooler: holds the machine's lease and the link to a core, and feeds the pooler.
 #include <csignal>
 #include <deque>
 
-#include "keel/constants.h"
-#include "keel/line_conn.h"
-#include "keel/log.h"
-#include "keel/loop.h"
-#include "keel/registry.h"
-#include "keel/role.h"
-#include "tender/relay.h"
+#include "agent/relay.h"
+#include "base/constants.h"
+#include "base/log.h"
+#include "cli/command_registry.h"
+#include "net/event_loop.h"
+#include "net/line_connection.h"
+#include "settings/run_role.h"
 
 namespace pebblespindle {
 namespace {
 
 using namespace constants;
 
-class Tender : public Relay::Port {
+class Agent : public Relay::Port {
  public:
-  explicit Tender(Settings s) : settings_(std::move(s)), relay_(*this, settings_.node_name, settings_.zone) {
+  explicit Agent(Settings s) : settings_(std::move(s)), relay_(*this, settings_.node_name, settings_.zone) {
     for (auto& seed : settings_.seeds) cores_.push_back({seed.host, ""});
   }
 
   int run() {
     auto feed = Acceptor::listen(loop_.io(), settings_.feed(),
-                                 [this](asio::ip::tcp::socket s) { accept_berth(std::move(s)); });
+                                 [this](asio::ip::tcp::socket s) { accept_proxy(std::move(s)); });
     if (!feed) {
       log_.say(feed.reason);
       return 1;
     }
     feed_ = std::move(*feed.value);
     loop_.on_signal(SIGTERM, [this] {
-      // The berth ends its work first; the link stays up for it until the grace period is nearly over.
+      // The pooler ends its work first; the link stays up for it until the grace period is nearly over.
       log_.say("Asked to end.");
-      if (!berth_) loop_.stop();
+      if (!pooler_) loop_.stop();
       if (ending_) return;
       ending_ = true;
       loop_.timers().at(loop_.now() + settings_.grace_ms - 2 * kReconnectMs, [this] { loop_.stop(); });
@@ -75,7 +75,7 @@
 
   void tick() {
     Millis now = loop_.now();
-    if (ending_ && !berth_) return loop_.stop();
+    if (ending_ && !pooler_) return loop_.stop();
     if (core_ && now - heard_ > kCoreSearchMs) {
       log_.say("Core " + core_host_ + " is silent.");
       drop_core();
@@ -89,7 +89,7 @@
       for (auto& c : cores_)
         if (c.zone == settings_.zone && c.host != core_host_) ask(c.host);
     }
-    if (core_ && !berth_ && now >= next_renew_) {
+    if (core_ && !pooler_ && now >= next_renew_) {
       next_renew_ = now + kNodeRenewMs;
       relay_.renew_alone(now);
     }
@@ -112,7 +112,7 @@
     if (core_) core_->send(line);
   }
   void to_proxy(const std::string& line) override {
-    if (berth_) berth_->send(line);
+    if (pooler_) pooler_->send(line);
   }
   void renewing() override {
     if (asked_ <= heard_) asked_ = loop_.now();  // the oldest renewal without an answer
@@ -147,28 +147,28 @@
   void ask(const std::string& host) {
     if (asked_cores_.count(host)) return;
     asked_cores_[host].since = loop_.now();
-    LineConn::connect(loop_.io(), {host, settings_.inner_first}, kCoreDialMs, kMaxLinkBytes,
-                      [this, host](LineConn::Ptr conn, const asio::error_code&) {
-                        auto a = asked_cores_.find(host);
-                        if (!conn || a == asked_cores_.end() || a->second.conn) {
-                          if (conn) conn->close();
-                          if (!conn && a != asked_cores_.end() && !a->second.conn) asked_cores_.erase(a);
-                          return;
-                        }
-                        a->second.conn = conn;
-                        conn->start({[this, conn, host](std::string_view line) { on_line(conn, host, line); },
-                                     [this, conn, host](LineConn::End) {
-                                       auto x = asked_cores_.find(host);
-                                       if (x != asked_cores_.end() && x->second.conn == conn)
-                                         asked_cores_.erase(x);
-                                       if (core_ == conn) drop_core();
-                                     },
-                                     [this] { loop_.rearm(); }});
-                        conn->send(Json{{"t", "who"}}.dump() + "\n");
-                      });
-  }
-
-  void on_line(const LineConn::Ptr& conn, const std::string& host, std::string_view line) {
+    LineConnection::connect(
+        loop_.io(), {host, settings_.inner_first}, kCoreDialMs, kMaxLinkBytes,
+        [this, host](LineConnection::Ptr conn, const asio::error_code&) {
+          auto a = asked_cores_.find(host);
+          if (!conn || a == asked_cores_.end() || a->second.conn) {
+            if (conn) conn->close();
+            if (!conn && a != asked_cores_.end() && !a->second.conn) asked_cores_.erase(a);
+            return;
+          }
+          a->second.conn = conn;
+          conn->start({[this, conn, host](std::string_view line) { on_line(conn, host, line); },
+                       [this, conn, host](LineConnection::End) {
+                         auto x = asked_cores_.find(host);
+                         if (x != asked_cores_.end() && x->second.conn == conn) asked_cores_.erase(x);
+                         if (core_ == conn) drop_core();
+                       },
+                       [this] { loop_.rearm(); }});
+          conn->send(Json{{"t", "who"}}.dump() + "\n");
+        });
+  }
+
+  void on_line(const LineConnection::Ptr& conn, const std::string& host, std::string_view line) {
     if (core_ == conn) return on_core(line);
     auto a = asked_cores_.find(host);
     if (a == asked_cores_.end() || a->second.conn != conn) return;
@@ -188,7 +188,7 @@
     return {};
   }
 
-  void take_core(const LineConn::Ptr& conn, const std::string& host) {
+  void take_core(const LineConnection::Ptr& conn, const std::string& host) {
     if (core_) core_->close();
     core_ = conn;
     core_host_ = host;
@@ -209,16 +209,16 @@
     relay_.core_line(line);
   }
 
-  void accept_berth(asio::ip::tcp::socket socket) {
-    auto conn = std::make_shared<LineConn>(std::move(socket), kMaxLinkBytes);
-    if (berth_) berth_->close();
-    berth_ = conn;
+  void accept_proxy(asio::ip::tcp::socket socket) {
+    auto conn = std::make_shared<LineConnection>(std::move(socket), kMaxLinkBytes);
+    if (pooler_) pooler_->close();
+    pooler_ = conn;
     conn->start({[this, conn](std::string_view line) {
-                   if (berth_ == conn) relay_.proxy_line(line);
+                   if (pooler_ == conn) relay_.proxy_line(line);
                  },
-                 [this, conn](LineConn::End) {
-                   if (berth_ != conn) return;
-                   berth_ = nullptr;
+                 [this, conn](LineConnection::End) {
+                   if (pooler_ != conn) return;
+                   pooler_ = nullptr;
                    relay_.proxy_down();
                    if (ending_) loop_.stop();
                  },
@@ -226,16 +226,16 @@
     relay_.proxy_up();
   }
 
-  Log log_{"tender"};
+  Log log_{"agent"};
   Settings settings_;
-  Loop loop_;
+  EventLoop loop_;
   std::unique_ptr<Acceptor> feed_;
   std::vector<Core> cores_;
-  LineConn::Ptr core_, berth_;
+  LineConnection::Ptr core_, pooler_;
   std::string core_host_, core_zone_;
   std::size_t next_core_ = 0;
   struct Asked {
-    LineConn::Ptr conn;
+    LineConnection::Ptr conn;
     Millis since = 0;
   };
   std::map<std::string, Asked> asked_cores_;  // by host: asked for a place, no answer yet
@@ -244,11 +244,11 @@
   Relay relay_;
 };
 
-int run_tender(const std::string&) {
-  return run_role("tender", [](Settings s) { return Tender(std::move(s)).run(); });
+int run_agent() {
+  return run_role("agent", [](Settings s) { return Agent(std::move(s)).run(); });
 }
 
-RegisterCommand tender_command("tender", {"keeps the link of an edge machine to the core", "", run_tender});
+const RegisterCommand kAgentCommand("agent", "keeps the link of an edge machine to a controller", run_agent);
 
 }  // namespace
 }  // namespace pebblespindle
--- a/src/tender/relay.cc
+++ b/src/agent/relay.cc
@@ -1,9 +1,9 @@
-#include "tender/relay.h"
+#include "agent/relay.h"
 
-#include "chain/fields.h"
+#include "base/json_fields.h"
 
 namespace pebblespindle {
-using chain::field;
+using replication::field;
 
 void Relay::core_up() {
   core_ = true;
--- a/src/tender/relay.h
+++ b/src/agent/relay.h
@@ -1,4 +1,4 @@
-// What a tender passes on between the proxy beside it and its core, and whose lives and links that belongs
+// What an agent passes on between the proxy beside it and its core, and whose lives and links that belongs
 // to. No I/O.
 //
 // Answers of the core name what they answer by a number or not at all. So one link to a core serves one life
@@ -7,7 +7,7 @@
 #pragma once
 #include <string>
 
-#include "tender/hold.h"
+#include "agent/state_cache.h"
 
 namespace pebblespindle {
 
@@ -42,7 +42,7 @@
   void leave();
   Port& port_;
   std::string node_, zone_;
-  Hold hold_;
+  StateCache hold_;
   Json last_renew_;  // of this life of the proxy
   bool core_ = false, proxy_ = false;
 };
--- a/src/tender/hold.cc
+++ b/src/agent/state_cache.cc
@@ -1,14 +1,14 @@
-#include "tender/hold.h"
+#include "agent/state_cache.h"
 
-#include "chain/fields.h"
+#include "base/json_fields.h"
 
 namespace pebblespindle {
 
-Hold::Taken Hold::take(const Json& m, std::string_view line) {
+StateCache::Taken StateCache::take(const Json& m, std::string_view line) {
   Taken t;
   auto rows = rows_from_json(m.value("r", Json()));
-  const std::uint64_t k = chain::number(m, "k"), left = chain::number(m, "left");
-  const bool whole = chain::field(m, "whole", false), alone = !m.contains("left");
+  const std::uint64_t k = replication::number(m, "k"), left = replication::number(m, "left");
+  const bool whole = replication::field(m, "whole", false), alone = !m.contains("left");
   // Pieces count down to the last; one that is not the next belongs to another feed.
   const bool next =
       !next_left_ ? alone || left > 0 : !alone && left == *next_left_ && k == pieces_of_ && whole == whole_;
@@ -43,7 +43,7 @@
   return t;
 }
 
-std::string Hold::whole() const {
+std::string StateCache::whole() const {
   std::vector<Row> rows;
   for (auto& r : rows_.since(0))
     if (!r.gone) rows.push_back(r);
--- a/src/tender/hold.h
+++ b/src/agent/state_cache.h
@@ -1,12 +1,12 @@
-// What a tender holds of the control state, and hands on to the proxy beside it. No I/O.
+// What an agent holds of the control state, and hands on to the proxy beside it. No I/O.
 #pragma once
 #include <string_view>
 
-#include "ledger/ledger.h"
+#include "storage/state_table.h"
 
 namespace pebblespindle {
 
-class Hold {
+class StateCache {
  public:
   struct Taken {
     bool got = false;     // a piece: the core sends the next once it hears so
@@ -26,7 +26,7 @@
   std::uint64_t number() const { return number_; }
 
  private:
-  Ledger rows_;
+  StateTable rows_;
   std::vector<Row> pieces_;  // of a feed under way
   std::uint64_t pieces_of_ = 0, number_ = 0;
   std::optional<std::uint64_t> next_left_;  // pieces behind the one that comes next; none: a feed begins
--- a/src/keel/constants.h
+++ b/src/base/constants.h
@@ -64,13 +64,13 @@
 constexpr std::int64_t kNodeLeaseMs =
     1000;  // ms; three missed renewals; bounds a failover's wait for a dead node
 constexpr std::int64_t kNodeRenewMs = 300;   // ms; three tries within a lease
-constexpr std::int64_t kCoreSearchMs = 700;  // ms; a tender leaves a core that is silent this long
+constexpr std::int64_t kCoreSearchMs = 700;  // ms; an agent leaves a core that is silent this long
 constexpr std::int64_t kCoreAnswerMs =
     200;  // ms; a renewal unanswered this long: other cores are asked while the lease still runs
 constexpr std::int64_t kCoreAskStepMs = 50;  // ms; many round trips: then the next core is asked as well
 constexpr std::int64_t kCoreDialMs =
     250;  // ms; a core that just starts drops the opening packet: dial anew, don't wait for seconds
-constexpr std::int64_t kReconnectMs = 100;  // ms; pause between tries to reach a core or tender
+constexpr std::int64_t kReconnectMs = 100;  // ms; pause between tries to reach a core or agent
 
 // --- the failover duty ----------------------------------------------------
 constexpr std::int64_t kDutyGuardMs = 250;  // ms; the holder stops this long before its lease ends
@@ -94,12 +94,12 @@
 constexpr int kBlindTries =
     3;  // tries to learn where a leaving primary stands; then the replicas alone count
 
-// --- berth ------------------------------------------------------------------
+// --- pooler ------------------------------------------------------------------
 constexpr std::int64_t kFreshMarginMs = 40;      // ms; subtracted from stale_ms for the way to the database
 constexpr std::int64_t kObservationStepMs = 20;  // ms; one kept position per step bounds the ring's memory
 constexpr std::int64_t kObservationKeepMs = 10000;  // ms; no route allows older positions than this
 constexpr std::int64_t kFirstFeedMs =
-    1000;  // ms; sessions wait this long for a berth that just started; clients wait two seconds for IDLE
+    1000;  // ms; sessions wait this long for a pooler that just started; clients wait two seconds for IDLE
 constexpr std::int64_t kUnleasedReadyMs =
     300;  // ms; a node whose lease ended this long ago asks for no new clients: others may serve them
 constexpr std::int64_t kCutOffMs =
@@ -127,7 +127,7 @@
 constexpr double kWorstDecay = 0.995;  // per answer; a slow spell is forgotten after some hundred answers
 constexpr std::int64_t kUnreadyNoticeMs = 2500;  // ms; the platform asks each second and needs two misses
 constexpr int kConnReservePerDatabase = 4;       // connections left for the core's own calls and for joiners
-constexpr int kMaxSessions = 3500;               // sessions a berth accepts; below its descriptor limit
+constexpr int kMaxSessions = 3500;               // sessions a pooler accepts; below its descriptor limit
 constexpr std::size_t kMaxSessionValues = 256;   // values or prepared names one session may hold
 constexpr std::int64_t kMostTold = std::int64_t(1)
                                    << 52;    // ms or rights; beyond what any clock or sum of a core comes to
@@ -175,8 +175,8 @@
 constexpr double kLatencyLearn = 0.1;             // weight of one answer
 constexpr std::int64_t kLatencyForgetMs = 2000;   // ms; a database not asked for this long is tried again
 
-// --- lighter ----------------------------------------------------------------
-constexpr std::size_t kMaxFrameBytes = 16 << 20;  // bytes; a request or answer between two lighters, whole
+// --- sidecar ----------------------------------------------------------------
+constexpr std::size_t kMaxFrameBytes = 16 << 20;  // bytes; a request or answer between two sidecars, whole
 constexpr std::size_t kMaxCallBytes = 8 << 20;  // bytes; a body held whole: a few fit into a sidecar's memory
 constexpr std::size_t kMaxAnswerHeadBytes =
     65536;                      // bytes; a database's answer has a few fields, never as many as this
@@ -185,11 +185,11 @@
     3'600'000;  // ms; no client waits an hour: what a peer's frame says beyond it is a fault
 constexpr double kBudgetShare =
     0.75;  // of the fleet's budget: the rest is for windows that slide unlike ours
-constexpr std::int64_t kBudgetSlotMs = 100;   // ms; a hundredth of a window: its edge is sharp enough
-constexpr std::int64_t kLighterDialMs = 400;  // ms; many round trips; then another database is tried
-constexpr std::int64_t kLighterSilentMs =
-    1500;                                   // ms; unacknowledged bytes on a link between lighters: it is dead
-constexpr std::int64_t kAwayFirstMs = 100;  // ms; a lighter that could not be reached is left alone this long
+constexpr std::int64_t kBudgetSlotMs = 100;  // ms; a hundredth of a window: its edge is sharp enough
+constexpr std::int64_t kPeerDialMs = 400;    // ms; many round trips; then another database is tried
+constexpr std::int64_t kPeerSilentMs =
+    1500;                                   // ms; unacknowledged bytes on a link between sidecars: it is dead
+constexpr std::int64_t kAwayFirstMs = 100;  // ms; a sidecar that could not be reached is left alone this long
 constexpr std::int64_t kAwayMostMs = 1600;  // ms; at most: one try of one request
 constexpr std::int64_t kBusyMs = 60;    // ms; word of a full database counts this long: a third of its work
 constexpr double kLoadHalfMs = 300.0;   // ms; half of what was told of a load has passed after this
@@ -222,12 +222,12 @@
 constexpr std::int64_t kBeatAnswerMs = 900;  // ms; callers count a second of silence as a failure
 
 // --- counting ---------------------------------------------------------------
-constexpr std::int64_t kTallySyncMs = 1000;   // ms; how often cores tell each other what they hold
-constexpr std::int64_t kTallyAskMs = 50;      // ms; many round trips: then it is asked again
-constexpr std::int64_t kTallyStepMost = 200;  // ms; one that stood still longer credits no more than this
-constexpr double kTallyPile = 0.6;  // of the burst: what may pile up at the cores; the rest is with the nodes
-constexpr double kTallyLeast = 3;  // operations; a core's share of the smallest allowance is worth asking for
-constexpr double kTallyThreshold = 0.1;       // of a core's share: below it another core is asked
+constexpr std::int64_t kQuotaSyncMs = 1000;   // ms; how often cores tell each other what they hold
+constexpr std::int64_t kQuotaAskMs = 50;      // ms; many round trips: then it is asked again
+constexpr std::int64_t kQuotaStepMost = 200;  // ms; one that stood still longer credits no more than this
+constexpr double kQuotaPile = 0.6;  // of the burst: what may pile up at the cores; the rest is with the nodes
+constexpr double kQuotaLeast = 3;  // operations; a core's share of the smallest allowance is worth asking for
+constexpr double kQuotaThreshold = 0.1;       // of a core's share: below it another core is asked
 constexpr std::int64_t kRightsLastMs = 1500;  // ms; what a node holds and does not use lapses
 constexpr double kRightsAheadS = 0.3;         // s; of its own use that a node asks for at once
 
--- a/src/chain/fields.h
+++ b/src/base/json_fields.h
@@ -1,8 +1,8 @@
 // Reads fields of messages; what is missing or of another type counts as the fallback.
 #pragma once
-#include "keel/schema.h"
+#include "base/json_schema.h"
 
-namespace pebblespindle::chain {
+namespace pebblespindle::replication {
 
 template <class T>
 T field(const Json& m, const char* name, T fallback) {
@@ -22,4 +22,4 @@
   return field<std::uint64_t>(m, name, 0);
 }
 
-}  // namespace pebblespindle::chain
+}  // namespace pebblespindle::replication
--- a/src/keel/schema.cc
+++ b/src/base/json_schema.cc
@@ -1,4 +1,4 @@
-#include "keel/schema.h"
+#include "base/json_schema.h"
 
 #include <valijson/adapters/nlohmann_json_adapter.hpp>
 #include <valijson/schema.hpp>
--- a/src/keel/schema.h
+++ b/src/base/json_schema.h
@@ -4,7 +4,7 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "keel/types.h"
+#include "base/types.h"
 
 namespace pebblespindle {
 
--- a/src/keel/log.cc
+++ b/src/base/log.cc
@@ -1,4 +1,4 @@
-#include "keel/log.h"
+#include "base/log.h"
 
 #include <unistd.h>
 
--- a/src/keel/types.cc
+++ b/src/base/types.cc
@@ -1,4 +1,4 @@
-#include "keel/types.h"
+#include "base/types.h"
 
 #include <charconv>
 
--- a/src/keel/registry.cc
+++ b/src/cli/command_registry.cc
@@ -1,4 +1,4 @@
-#include "keel/registry.h"
+#include "cli/command_registry.h"
 
 namespace pebblespindle {
 
--- a/src/ordinance/taken.cc
+++ b/src/config/applied_changes.cc
@@ -1,4 +1,4 @@
-#include "ordinance/taken.h"
+#include "config/applied_changes.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <charconv>
 
-#include "keel/constants.h"
+#include "base/constants.h"
 
 namespace pebblespindle {
 namespace {
@@ -46,8 +46,8 @@
   return std::to_string(body.size()) + "." + std::to_string(h);
 }
 
-Json former_marks(const Ledger& ledger) {
-  const Row* row = ledger.find(kTakenKey);
+Json former_marks(const StateTable& state) {
+  const Row* row = state.find(kTakenKey);
   Json marks = row ? Json::parse(row->value, nullptr, false) : Json();
   return marks.is_array() ? marks : Json::array();
 }
@@ -68,19 +68,19 @@
   return text;
 }
 
-std::optional<Taken> taken_at(const Ledger& ledger, std::uint64_t place) {
-  auto t = read_row(ledger.find(key_of(place)));
+std::optional<Taken> taken_at(const StateTable& state, std::uint64_t place) {
+  auto t = read_row(state.find(key_of(place)));
   return t && t->place == place ? t : std::nullopt;
 }
 
-std::optional<Taken> newest_taken(const Ledger& ledger) {
-  auto newest = read_row(ledger.find(key_of(0)));  // where this round of the ring began
+std::optional<Taken> newest_taken(const StateTable& state) {
+  auto newest = read_row(state.find(key_of(0)));  // where this round of the ring began
   if (!newest) return std::nullopt;
   const std::uint64_t begin = newest->place;
   std::uint64_t known = 0, beyond = kTakenKept;  // of this round; what follows is of the round before
   while (beyond - known > 1) {
     const std::uint64_t middle = (known + beyond) / 2;
-    if (auto t = taken_at(ledger, begin + middle))
+    if (auto t = taken_at(state, begin + middle))
       known = middle, newest = t;
     else
       beyond = middle;
@@ -88,13 +88,13 @@
   return newest;
 }
 
-Fate fate_of(const Ledger& ledger, bool patch, std::uint64_t base, const std::string& body) {
-  const auto newest = newest_taken(ledger);
+Fate fate_of(const StateTable& state, bool patch, std::uint64_t base, const std::string& body) {
+  const auto newest = newest_taken(state);
   std::uint64_t low = newest && newest->place >= kTakenKept ? newest->place - kTakenKept + 1 : 0;
   const std::uint64_t oldest = low;
   for (std::uint64_t high = newest ? newest->place + 1 : 0; low < high;) {
     const std::uint64_t middle = (low + high) / 2;
-    const auto t = taken_at(ledger, middle);
+    const auto t = taken_at(state, middle);
     if (!t) return Fate::kUnknown;  // a ring with a gap tells nothing
     if (t->base == base) return t->digest == digest_of(patch, base, body) ? Fate::kTaken : Fate::kNotTaken;
     if (t->base < base)
@@ -104,21 +104,21 @@
   }
   const bool older = low == oldest;  // than all that the ring holds
   if (older && oldest > 0) return Fate::kUnknown;
-  const Json marks = former_marks(ledger);
+  const Json marks = former_marks(state);
   const std::string mark =
       marks.empty() ? "" : former_mark_of(patch ? "patch " + std::to_string(base) + " " + body : body);
   if (std::find(marks.begin(), marks.end(), Json(mark)) != marks.end()) return Fate::kTaken;
   return older && marks.size() >= kFormerMarks ? Fate::kUnknown : Fate::kNotTaken;
 }
 
-std::vector<Row> taken_rows(const Ledger& ledger, bool patch, std::uint64_t base, std::uint64_t revision,
+std::vector<Row> taken_rows(const StateTable& state, bool patch, std::uint64_t base, std::uint64_t revision,
                             const std::string& body) {
-  const auto newest = newest_taken(ledger);
+  const auto newest = newest_taken(state);
   const std::uint64_t place = newest ? newest->place + 1 : 0;
   std::vector<Row> rows{
       {key_of(place), text_of({place, base, revision, digest_of(patch, base, body)}), 0, false}};
   // The ring begins to forget: what is older than it goes first.
-  if (place >= kTakenKept && ledger.find(kTakenKey)) rows.push_back({kTakenKey, {}, 0, true});
+  if (place >= kTakenKept && state.find(kTakenKey)) rows.push_back({kTakenKey, {}, 0, true});
   return rows;
 }
 
--- a/src/ordinance/chart.cc
+++ b/src/config/cluster_state.cc
@@ -1,10 +1,10 @@
-#include "ordinance/chart.h"
+#include "config/cluster_state.h"
 
 #include <set>
 
 namespace pebblespindle {
 
-bool Chart::apply(std::uint64_t number, const std::vector<Row>& rows) {
+bool ClusterState::apply(std::uint64_t number, const std::vector<Row>& rows) {
   if (number <= number_) return false;
   std::uint64_t before = number_;
   number_ = number;
@@ -40,7 +40,7 @@
   return true;
 }
 
-std::vector<Row> Chart::changes_to(std::uint64_t number, std::vector<Row> whole) const {
+std::vector<Row> ClusterState::changes_to(std::uint64_t number, std::vector<Row> whole) const {
   std::set<std::string> named;
   for (auto& r : whole) named.insert(r.key);
   auto unless_named = [&](std::string key) {
@@ -54,39 +54,39 @@
   return whole;
 }
 
-bool Chart::follow(const Ledger& ledger) {
-  if (ledger.changes() == changes_ && ledger.lives() == lives_) return false;
-  // The ledger was taken anew, and its numbers may stand for other rows; or it no longer names all that is
+bool ClusterState::follow(const StateTable& state) {
+  if (state.changes() == changes_ && state.lives() == lives_) return false;
+  // The state was taken anew, and its numbers may stand for other rows; or it no longer names all that is
   // gone.
-  if (ledger.lives() != lives_ || number_ < ledger.trimmed()) {
-    *this = Chart();
-    lives_ = ledger.lives();
+  if (state.lives() != lives_ || number_ < state.trimmed()) {
+    *this = ClusterState();
+    lives_ = state.lives();
   }
-  changes_ = ledger.changes();
-  return apply(ledger.stored(), ledger.since(number_));
+  changes_ = state.changes();
+  return apply(state.stored(), state.since(number_));
 }
 
-void Chart::index() {
+void ClusterState::index() {
   by_service_.clear();
   for (auto& [id, i] : instances_) by_service_[i.service].push_back(&i);
 }
 
-void Chart::index_keys() {
+void ClusterState::index_keys() {
   tenants_by_key_.clear();
   for (auto& [name, t] : config_.tenants)
     for (auto& k : t.keys) tenants_by_key_[k] = name;
 }
 
-const Tenant* Chart::tenant_of(const std::string& key) const {
+const Tenant* ClusterState::tenant_of(const std::string& key) const {
   auto it = tenants_by_key_.find(key);
   return it == tenants_by_key_.end() ? nullptr : &config_.tenants.at(it->second);
 }
 
-std::shared_ptr<const Route> Chart::route(const std::string& host) const {
+std::shared_ptr<const Route> ClusterState::route(const std::string& host) const {
   return route(host, "/");
 }
 
-std::shared_ptr<const Route> Chart::route(const std::string& host, std::string_view path) const {
+std::shared_ptr<const Route> ClusterState::route(const std::string& host, std::string_view path) const {
   for (auto slash = path.rfind('/'); slash != std::string_view::npos;) {
     auto it = routes_.find(host + std::string(path.substr(0, slash + 1)));
     if (it != routes_.end()) return it->second;
@@ -96,18 +96,18 @@
   return nullptr;
 }
 
-const Instance* Chart::instance(const InstanceId& id) const {
+const Instance* ClusterState::instance(const InstanceId& id) const {
   auto it = instances_.find(id);
   return it == instances_.end() ? nullptr : &it->second;
 }
 
-const std::vector<const Instance*>& Chart::of(const std::string& service) const {
+const std::vector<const Instance*>& ClusterState::of(const std::string& service) const {
   static const std::vector<const Instance*> none;
   auto it = by_service_.find(service);
   return it == by_service_.end() ? none : it->second;
 }
 
-const Lead* Chart::lead(const std::string& service) const {
+const Lead* ClusterState::lead(const std::string& service) const {
   auto it = leads_.find(service);
   return it == leads_.end() ? nullptr : &it->second;
 }
--- a/src/ordinance/chart.h
+++ b/src/config/cluster_state.h
@@ -4,19 +4,19 @@
 #include <memory>
 #include <vector>
 
-#include "ledger/ledger.h"
-#include "ordinance/records.h"
+#include "config/records.h"
+#include "storage/state_table.h"
 
 namespace pebblespindle {
 
-class Chart {
+class ClusterState {
  public:
   // Applies rows up to number; older numbers are ignored. True when something changed.
   bool apply(std::uint64_t number, const std::vector<Row>& rows);
   // A whole state as the changes that lead to it from here: what it does not name is gone.
   std::vector<Row> changes_to(std::uint64_t number, std::vector<Row> whole) const;
-  // Brings the chart to what a ledger holds. False, and cheap, while the ledger has not changed.
-  bool follow(const Ledger& ledger);
+  // Brings the cluster to what a state holds. False, and cheap, while the state has not changed.
+  bool follow(const StateTable& state);
 
   std::uint64_t number() const { return number_; }
   bool fed() const { return config_.revision > 0; }
--- a/src/ordinance/delivery.cc
+++ b/src/config/config_delivery.cc
@@ -1,7 +1,7 @@
-#include "ordinance/delivery.h"
+#include "config/config_delivery.h"
 
-#include "keel/constants.h"
-#include "ordinance/ordinance.h"
+#include "base/constants.h"
+#include "config/update_validation.h"
 
 namespace pebblespindle {
 
@@ -11,7 +11,7 @@
   feeding_ = nullptr;
 }
 
-void Delivery::go_on(const Ledger& ledger, std::uint64_t committed, bool settled, News& news,
+void Delivery::go_on(const StateTable& state, std::uint64_t committed, bool settled, News& news,
                      const Send& send) {
   for (;;) {
     // Bulk goes in pieces, and the next one only as a node takes them: leases are not held up behind it.
@@ -21,11 +21,11 @@
     feeding_ = nullptr;
     // Only whole, committed states go out: between two changes of a row there is nothing to send.
     if (!greeted_ || !settled || sent_ >= committed) return;
-    if (sent_ < ledger.trimmed()) sent_ = 0;  // what is gone is no longer named: it takes the state whole
-    if (news.from != sent_ || news.to != committed || news.life != ledger.lives())
-      news = {sent_, committed, ledger.lives(),
-              std::make_shared<const std::vector<std::string>>(
-                  feed_lines(sent_, committed, ledger.since(sent_)))};
+    if (sent_ < state.trimmed()) sent_ = 0;  // what is gone is no longer named: it takes the state whole
+    if (news.from != sent_ || news.to != committed || news.life != state.lives())
+      news = {
+          sent_, committed, state.lives(),
+          std::make_shared<const std::vector<std::string>>(feed_lines(sent_, committed, state.since(sent_)))};
     sent_ = committed;
     feeding_ = news.lines;
     next_ = taken_ = 0;
--- a/src/ordinance/delivery.h
+++ b/src/config/config_delivery.h
@@ -4,7 +4,7 @@
 #include <functional>
 #include <memory>
 
-#include "ledger/ledger.h"
+#include "storage/state_table.h"
 
 namespace pebblespindle {
 
@@ -23,8 +23,8 @@
   void greet(std::uint64_t have);
   // The node has taken a piece.
   void got() { ++taken_; }
-  // Sends what can go now. The ledger holds committed state alone when `settled` says so.
-  void go_on(const Ledger& ledger, std::uint64_t committed, bool settled, News& news, const Send& send);
+  // Sends what can go now. The state holds committed state alone when `settled` says so.
+  void go_on(const StateTable& state, std::uint64_t committed, bool settled, News& news, const Send& send);
 
  private:
   std::uint64_t sent_ = 0;
--- a/src/ordinance/records.cc
+++ b/src/config/records.cc
@@ -1,4 +1,4 @@
-#include "ordinance/records.h"
+#include "config/records.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/ordinance/records.h
+++ b/src/config/records.h
@@ -1,4 +1,4 @@
-// The records of the control state: how configuration, databases and services stand in the ledger.
+// The records of the control state: how configuration, databases and services stand in the state.
 #pragma once
 #include <functional>
 #include <map>
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "keel/schema.h"
-#include "keel/settings.h"
+#include "base/json_schema.h"
+#include "settings/settings.h"
 
 namespace pebblespindle {
 
@@ -45,7 +45,7 @@
 
 struct Configuration {
   std::uint64_t revision = 0;
-  std::map<std::string, Route> routes;  // by place; a chart keeps its own
+  std::map<std::string, Route> routes;  // by place; a cluster keeps its own
   std::map<std::string, ServiceSpec> services;
   std::map<std::string, Tenant> tenants;
   Limits limits;
@@ -83,7 +83,7 @@
   static std::optional<Lead> from(const std::string& text);
 };
 
-// A configuration stands in the ledger twice: as it was sent, which cores alone keep, and in parts, of which
+// A configuration stands in the state twice: as it was sent, which cores alone keep, and in parts, of which
 // nodes are told what a change has changed: a head, a row a service and a row a route.
 // Beside it stands a record of those taken of late (taken.h).
 inline const std::string kConfigKey = "c", kConfigHeadKey = "h", kServicePrefix = "v/", kRoutePrefix = "r/",
--- a/src/ordinance/ordinance.cc
+++ b/src/config/update_validation.cc
@@ -1,29 +1,29 @@
-#include "ordinance/ordinance.h"
+#include "config/update_validation.h"
 
-#include "keel/constants.h"
-#include "ordinance/taken.h"
+#include "base/constants.h"
+#include "config/applied_changes.h"
 
 namespace pebblespindle {
 namespace {
 
-using chain::Verdict;
+using replication::Verdict;
 
 // PUT brings a whole; PATCH what is to change in the whole that is in place. A refusal is final, so it is
 // given only where no later state could answer otherwise: versions rise, and each has one successor.
-Verdict judge_config(const Ledger& ledger, const Json& u) {
+Verdict judge_config(const StateTable& state, const Json& u) {
   const std::string sent = u.value("body", "");
   const bool patch = u.value("op", "") == "patch";
   const std::uint64_t base = u.value("base", std::uint64_t(0));
-  const Row* now = ledger.find(kConfigKey);
+  const Row* now = state.find(kConfigKey);
   if (!patch && now && now->value == sent) return {};
   Configuration in_place;
-  if (const Row* head = ledger.find(kConfigHeadKey)) enter_part(in_place, head->key, &head->value, {});
+  if (const Row* head = state.find(kConfigHeadKey)) enter_part(in_place, head->key, &head->value, {});
   const std::uint64_t current = in_place.revision;
   const Verdict another{412, "the version in place is " + std::to_string(current), {}};
   if (base < current) {
     // One that was taken, and perhaps replaced since, is answered as taken: whoever offers it again has not
     // heard.
-    const Fate fate = fate_of(ledger, patch, base, sent);
+    const Fate fate = fate_of(state, patch, base, sent);
     if (fate == Fate::kTaken) return {};
     if (fate == Fate::kUnknown)
       return {503, "version " + std::to_string(base) + " is no longer on record", {}};
@@ -46,26 +46,26 @@
   if (next.value->revision <= base) return {400, "Revision is not above " + std::to_string(base), {}};
   if (base > current) return on_its_way;
   // Nodes are told what has changed, whatever the size of the whole.
-  Verdict v{200, {}, taken_rows(ledger, patch, base, next.value->revision, sent)};
+  Verdict v{200, {}, taken_rows(state, patch, base, next.value->revision, sent)};
   v.rows.push_back({kConfigKey, whole, 0, false});
   auto parts = configuration_parts(*next.value);
   for (auto& prefix : {kServicePrefix, kRoutePrefix, kTenantPrefix})
-    ledger.each(prefix, [&](const Row& r) {
+    state.each(prefix, [&](const Row& r) {
       if (!parts.count(r.key)) v.rows.push_back({r.key, {}, 0, true});
     });
   for (auto& [key, value] : parts) {
-    const Row* old = ledger.find(key);
+    const Row* old = state.find(key);
     if (!old || old->value != value) v.rows.push_back({key, value, 0, false});
   }
   return v;
 }
 
-Verdict judge_instance(const Ledger& ledger, const Json& u) {
+Verdict judge_instance(const StateTable& state, const Json& u) {
   InstanceId id{u.value("id", "")};
   const std::string text = u.value("v", "");
   auto next = Instance::from(id, text);
   if (!next) return {400, "not an instance", {}};
-  const Row* now = ledger.find_any(instance_key(id));
+  const Row* now = state.find_any(instance_key(id));
   if (now && now->gone) return {};  // it has left; a late call changes nothing
   if (now) {
     auto old = Instance::from(id, now->value);
@@ -76,28 +76,28 @@
   // name.
   const std::string there = "\"" + next->address.text() + "\"";
   if (!now)
-    ledger.each("i/", [&](const Row& r) {
+    state.each("i/", [&](const Row& r) {
       if (r.value.find(there) == std::string::npos) return;  // reading every row would cost far more
       auto other = Instance::from({r.key.substr(2)}, r.value);
       if (other && other->address == next->address) v.rows.push_back({r.key, {}, 0, true});
     });
   // The first primary that names itself leads its service; after that only a failover changes the lead.
-  if (next->primary && !ledger.find(lead_key(next->service)))
+  if (next->primary && !state.find(lead_key(next->service)))
     v.rows.push_back({lead_key(next->service), Lead{id, false, false, 0, false}.json().dump(), 0, false});
   return v;
 }
 
-Verdict judge_leave(const Ledger& ledger, const Json& u) {
+Verdict judge_leave(const StateTable& state, const Json& u) {
   InstanceId id{u.value("id", "")};
-  const Row* now = ledger.find_any(instance_key(id));
+  const Row* now = state.find_any(instance_key(id));
   if (!now || now->gone) return {};
   return {200, {}, {{instance_key(id), {}, 0, true}}};
 }
 
-Verdict judge_lead(const Ledger& ledger, const Json& u) {
+Verdict judge_lead(const StateTable& state, const Json& u) {
   const std::string key = lead_key(u.value("s", ""));
   const std::string next = u.value("v", "");
-  const Row* now = ledger.find(key);
+  const Row* now = state.find(key);
   const std::string current = now ? now->value : std::string();
   if (current == next) return {};
   if (current != u.value("x", "")) return {412, "the lead has changed", {}};
@@ -146,13 +146,13 @@
   return lines;
 }
 
-Verdict judge_update(const Ledger& ledger, const Json& u) {
+Verdict judge_update(const StateTable& state, const Json& u) {
   if (!u.is_object()) return {400, "not an update", {}};
   const std::string op = u.value("op", "");
-  if (op == "config" || op == "patch") return judge_config(ledger, u);
-  if (op == "inst") return judge_instance(ledger, u);
-  if (op == "leave") return judge_leave(ledger, u);
-  if (op == "lead") return judge_lead(ledger, u);
+  if (op == "config" || op == "patch") return judge_config(state, u);
+  if (op == "inst") return judge_instance(state, u);
+  if (op == "leave") return judge_leave(state, u);
+  if (op == "lead") return judge_lead(state, u);
   return {400, "unknown update", {}};
 }
 
--- a/src/harbourmaster/control.cc
+++ b/src/controller/control_api.cc
@@ -1,7 +1,7 @@
 // The calls of the control plane, but for those that change the configuration. What is answered from this
-// core's own ledger is answered only while it serves: a core without a majority says 503.
-#include "harbourmaster/harbourmaster.h"
-#include "ordinance/ordinance.h"
+// core's own state is answered only while it serves: a core without a majority says 503.
+#include "config/update_validation.h"
+#include "controller/controller.h"
 
 namespace pebblespindle {
 
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-void Harbourmaster::on_http(HttpRequest r, HttpDone done) {
+void Controller::on_http(HttpRequest r, HttpDone done) {
   auto answer = [this, done = std::move(done)](HttpReply reply) {
     done(std::move(reply));
     loop_.rearm();
@@ -33,7 +33,7 @@
     if (r.method == "PUT") return on_beat(id, r, answer);
     if (r.method == "DELETE") {
       if (!may_grant()) return answer(plain(503, "out of the view"));
-      return node_->submit(loop_.now(), leave_update({id}), [this, id, answer](chain::Answer a) {
+      return node_->submit(loop_.now(), leave_update({id}), [this, id, answer](replication::Answer a) {
         if (a.status == 200) note("Database " + id + " has left.");
         answer(a.status == 200 ? HttpReply{} : plain(503, a.reason));
       });
@@ -44,7 +44,7 @@
   answer(plain(404, "no such place"));
 }
 
-std::string Harbourmaster::beat_answer(const Instance& i) const {
+std::string Controller::beat_answer(const Instance& i) const {
   if (!may_grant()) return "{}";
   // Later beats go to the core in the database's own zone: no bytes between zones.
   auto port = settings_.listeners.at("ControlPlane").port;
@@ -56,12 +56,12 @@
   return "{}";
 }
 
-void Harbourmaster::on_beat(const std::string& id, const HttpRequest& r, HttpDone done) {
+void Controller::on_beat(const std::string& id, const HttpRequest& r, HttpDone done) {
   if (!may_grant()) return done(plain(503, "out of the view"));
   auto beat = read_beat(id, r.body);
   if (!beat) return done(plain(400, beat.reason));
   const Instance& i = *beat.value;
-  const Row* row = node_->ledger().find_any(instance_key(i.id));
+  const Row* row = node_->state().find_any(instance_key(i.id));
   auto old = row && !row->gone ? Instance::from(i.id, row->value) : std::nullopt;
   bool plain_renewal = row && (row->gone || (old && old->same_but_calls(i)));
   if (plain_renewal && node_->serves(loop_.now())) return done({200, beat_answer(i), {}});
@@ -70,7 +70,7 @@
     news = " joins at " + i.address.text() + (i.primary ? " as primary." : " as replica.");
   else if (i.draining && !old->draining)
     news = " is leaving.";
-  node_->submit(loop_.now(), instance_update(i), [this, i, done, news](chain::Answer a) {
+  node_->submit(loop_.now(), instance_update(i), [this, i, done, news](replication::Answer a) {
     if (a.status != 200) return done(plain(a.status == 0 ? 503 : a.status, a.reason));
     if (!news.empty()) note("Database " + i.id.value + " of " + i.service + news);
     done({200, beat_answer(i), {}});
@@ -83,10 +83,10 @@
   });
 }
 
-// A database that speaks to the proxy on its own machine: its word comes with the tender.
-void Harbourmaster::on_relayed_beat(const std::shared_ptr<Tender>& t, const Json& m) {
+// A database that speaks to the proxy on its own machine: its word comes with the agent.
+void Controller::on_relayed_beat(const std::shared_ptr<Agent>& t, const Json& m) {
   const std::string id = m.value("id", ""), kind = m.value("t", "");
-  auto done = [this, t, id, kind, calls = m.value("calls", std::uint64_t(0))](chain::Answer a) {
+  auto done = [this, t, id, kind, calls = m.value("calls", std::uint64_t(0))](replication::Answer a) {
     if (a.status == 200 && kind == "leave") note("Database " + id + " has left.");
     t->conn->send(
         Json{{"t", "beaten"}, {"id", id}, {"calls", calls}, {"s", a.status == 0 ? 503 : a.status}}.dump() +
--- a/src/harbourmaster/harbourmaster.cc
+++ b/src/controller/controller.cc
@@ -1,42 +1,45 @@
-#include "harbourmaster/harbourmaster.h"
+#include "controller/controller.h"
 
 #include <algorithm>
 #include <csignal>
 #include <random>
 #include <thread>
 
-#include "chain/shape.h"
-#include "keel/constants.h"
-#include "keel/registry.h"
-#include "keel/role.h"
-#include "ordinance/ordinance.h"
+#include "base/constants.h"
+#include "cli/command_registry.h"
+#include "config/update_validation.h"
+#include "replication/message_validation.h"
+#include "settings/run_role.h"
 
 namespace pebblespindle {
 using namespace constants;
 
-chain::Verdict Harbourmaster::judge_update(const Ledger& ledger, const Json& update) {
-  return pebblespindle::judge_update(ledger, update);
+replication::Verdict Controller::judge_update(const StateTable& state, const Json& update) {
+  return pebblespindle::judge_update(state, update);
 }
 
-Harbourmaster::Harbourmaster(Settings settings, std::unique_ptr<SqliteDisk> disk)
-    : settings_(std::move(settings)), disk_(std::move(disk)), roster_(loop_.now()), seated_at_(loop_.now()) {
-  chain::Node::Start start;
+Controller::Controller(Settings settings, std::unique_ptr<SqliteStore> disk)
+    : settings_(std::move(settings)),
+      disk_(std::move(disk)),
+      node_leases_(loop_.now()),
+      seated_at_(loop_.now()) {
+  replication::Node::Start start;
   start.host = settings_.ip;
   for (auto& s : settings_.seeds) start.seeds.push_back(s.host);
   start.bootstrap = settings_.bootstrap;
   start.losses = std::size_t(settings_.machine_losses);
   std::random_device random;
   start.life = life_ = std::uint64_t(random()) << 32 | random();
-  purser_ = std::make_unique<tally::Purser>(settings_.ip + "/" + std::to_string(life_));
-  node_ = std::make_unique<chain::Node>(std::move(start), *disk_, *this, loop_.now());
-  duty::Failover::Out out;
+  quota_allocator_ = std::make_unique<quota::QuotaAllocator>(settings_.ip + "/" + std::to_string(life_));
+  node_ = std::make_unique<replication::Node>(std::move(start), *disk_, *this, loop_.now());
+  failover::Failover::Out out;
   out.holds = [this] { return node_->leads(loop_.now()); };
   out.token = [this] {
     auto& v = node_->view();
     return v.head() == node_->self() ? v.headed : 0;
   };
-  out.ask = [this](const Instance& i, const std::string& s, std::function<void(duty::DbReply)> done) {
-    db_.ask(i, s, [this, id = i.id, done = std::move(done)](duty::DbReply r) {
+  out.ask = [this](const Instance& i, const std::string& s, std::function<void(failover::DbReply)> done) {
+    db_.ask(i, s, [this, id = i.id, done = std::move(done)](failover::DbReply r) {
       if (r.error.starts_with("CONNLIMIT")) tighten(id, nullptr);
       done(std::move(r));
     });
@@ -57,23 +60,23 @@
         },
         [this] { return node_->leads(loop_.now()); });
   };
-  out.submit = [this](Json u, std::function<void(chain::Answer)> done) {
+  out.submit = [this](Json u, std::function<void(replication::Answer)> done) {
     node_->submit(loop_.now(), std::move(u), std::move(done));
   };
   out.all_acknowledged = [this](std::uint64_t n) { return all_acknowledged(n); };
   out.members = [this] { return members(); };
   out.note = [this](const std::string& s) { note(s); };
   db_.may_act = [this] { return node_->leads(loop_.now()); };
-  failover_ = std::make_unique<duty::Failover>(node_->ledger(), std::move(out));
+  failover_ = std::make_unique<failover::Failover>(node_->state(), std::move(out));
 }
 
-void Harbourmaster::note(const std::string& sentence) {
+void Controller::note(const std::string& sentence) {
   log_.say(sentence);
   events_.push_back({loop_.now(), sentence});
   if (events_.size() > kEventsKept) events_.pop_front();
 }
 
-int Harbourmaster::run() {
+int Controller::run() {
   auto inner = Acceptor::listen(loop_.io(), settings_.inner(),
                                 [this](asio::ip::tcp::socket s) { accept_inner(std::move(s)); });
   if (!inner) {
@@ -113,19 +116,19 @@
 
 // Hands over before it ends: its nodes turn to other cores while their leases run, and its vote goes to a
 // core that stands by, if there is one.
-void Harbourmaster::part() {
+void Controller::part() {
   if (node_->parting()) return;
   Millis now = loop_.now();
   node_->part(now);
   part_by_ = now + std::min(kHandOverMs, settings_.grace_ms / 2);
   const std::string away = Json{{"t", "away"}, {"l", core_list()}}.dump() + "\n";
-  for (auto& [t, core] : tenders_)
+  for (auto& [t, core] : agents_)
     if (!core && t->delivery.greeted()) t->conn->send(away);
   tick();
   loop_.rearm();
 }
 
-void Harbourmaster::tick() {
+void Controller::tick() {
   Millis now = loop_.now();
   if (node_->parting() && !ending_ && (now >= part_by_ || node_->may_go(now))) {
     ending_ = true;
@@ -143,9 +146,9 @@
     seated_at_ = now;
   }
   last_tick_ = now;
-  roster_.expire(now);
+  node_leases_.expire(now);
   std::erase_if(tight_, [now](auto& t) { return now >= t.second + kTightMs; });
-  lookout_.expire(now);
+  outlier_detector_.expire(now);
   bool holds = node_->leads(now);
   if (holds != held_duty_) {
     held_duty_ = holds;
@@ -155,42 +158,46 @@
   failover_->tick(now);
   db_.expire();
   tell_peers(false);
-  keep_tally();
+  update_quotas();
 }
 
 // Allowances grow while this core has its place; the cores tell each other what they hold, and even it out.
-void Harbourmaster::keep_tally() {
+void Controller::update_quotas() {
   Millis now = loop_.now();
-  chart_.follow(node_->ledger());
-  if (chart_.config().tenants.empty()) return;
-  purser_->pass(now, chart_.config().tenants, may_grant() ? node_->view().members.size() : 0);
-  if (now >= sums_at_ + kTallySyncMs) {
+  cluster_.follow(node_->state());
+  if (cluster_.config().tenants.empty()) return;
+  quota_allocator_->pass(now, cluster_.config().tenants, may_grant() ? node_->view().members.size() : 0);
+  if (now >= sums_at_ + kQuotaSyncMs) {
     sums_at_ = now;
-    if (Json sums = purser_->sums(); !sums.is_null())
-      for (auto& [host, p] : peers_) send(host, {{"t", "sums"}, {"me", purser_->self()}, {"l", sums}});
+    if (Json sums = quota_allocator_->sums(); !sums.is_null())
+      for (auto& [host, p] : peers_)
+        send(host, {{"t", "sums"}, {"me", quota_allocator_->self()}, {"l", sums}});
   }
-  for (auto& a : purser_->shortages(now))
-    if (auto host = purser_hosts_.find(a.peer); host != purser_hosts_.end())
-      send(host->second,
-           {{"t", "pay"}, {"s", a.tenant}, {"me", purser_->self()}, {"known", a.known}, {"want", a.want}});
+  for (auto& a : quota_allocator_->shortages(now))
+    if (auto host = quota_holder_hosts_.find(a.peer); host != quota_holder_hosts_.end())
+      send(host->second, {{"t", "pay"},
+                          {"s", a.tenant},
+                          {"me", quota_allocator_->self()},
+                          {"known", a.known},
+                          {"want", a.want}});
 }
 
-void Harbourmaster::on_pay(const Json& m, const std::function<void(const Json&)>& answer) {
+void Controller::on_pay(const Json& m, const std::function<void(const Json&)>& answer) {
   const std::string tenant = m.value("s", "");
-  auto sum = purser_->ask(tenant, m.value("me", ""), m.value("known", tally::Rights(0)),
-                          m.value("want", tally::Rights(0)));
-  if (sum) answer({{"t", "paid"}, {"s", tenant}, {"from", purser_->self()}, {"sum", *sum}});
+  auto sum = quota_allocator_->ask(tenant, m.value("me", ""), m.value("known", quota::Rights(0)),
+                                   m.value("want", quota::Rights(0)));
+  if (sum) answer({{"t", "paid"}, {"s", tenant}, {"from", quota_allocator_->self()}, {"sum", *sum}});
 }
 
-// --- links to the other cores and to tenders ---------------------------------
+// --- links to the other cores and to agents ---------------------------------
 
-void Harbourmaster::dial(const std::string& host) {
+void Controller::dial(const std::string& host) {
   auto& p = peers_[host];
   p.dialling = true;
   p.dial_at = loop_.now() + kReconnectMs;
-  LineConn::connect(
+  LineConnection::connect(
       loop_.io(), {host, settings_.inner_first}, kCoreDialMs, kMaxLinkBytes,
-      [this, host](LineConn::Ptr conn, const asio::error_code&) {
+      [this, host](LineConnection::Ptr conn, const asio::error_code&) {
         auto& peer = peers_[host];
         peer.dialling = false;
         if (!conn) return;
@@ -198,7 +205,7 @@
         peer.conn = conn;
         set_silence_limit(conn->socket(), kCoreSilentMs * 3);
         conn->start({[](std::string_view) {},
-                     [this, host, conn](LineConn::End) {
+                     [this, host, conn](LineConnection::End) {
                        if (peers_[host].conn == conn) peers_[host].conn = nullptr;
                      },
                      {}});
@@ -208,8 +215,8 @@
       });
 }
 
-void Harbourmaster::send(const std::string& to, const Json& message) {
-  auto it = peers_.find(chain::host_of(to));
+void Controller::send(const std::string& to, const Json& message) {
+  auto it = peers_.find(replication::host_of(to));
   if (it == peers_.end() || !it->second.conn) return;
   if (it->second.conn->queued() > kMaxPeerQueueBytes) {  // a peer that takes nothing: start anew
     it->second.conn->close();
@@ -219,56 +226,56 @@
   it->second.conn->send(message.dump() + "\n");
 }
 
-void Harbourmaster::accept_inner(asio::ip::tcp::socket socket) {
+void Controller::accept_inner(asio::ip::tcp::socket socket) {
   set_silence_limit(socket, kCoreSilentMs * 3);
-  auto t = std::make_shared<Tender>();
-  t->conn = std::make_shared<LineConn>(std::move(socket), kMaxLinkBytes);
-  tenders_[t] = false;
+  auto t = std::make_shared<Agent>();
+  t->conn = std::make_shared<LineConnection>(std::move(socket), kMaxLinkBytes);
+  agents_[t] = false;
   t->conn->start({[this, t](std::string_view line) { on_inner(t, line); },
-                  [this, t](LineConn::End why) {
-                    if (why == LineConn::End::kTooLong)
+                  [this, t](LineConnection::End why) {
+                    if (why == LineConnection::End::kTooLong)
                       log_.say("A message of " + (t->node.empty() ? "a new link" : t->node) +
                                " is too large; its link is closed.");
-                    tenders_.erase(t);
+                    agents_.erase(t);
                   },
                   [this] { loop_.rearm(); }});
 }
 
-void Harbourmaster::on_inner(const std::shared_ptr<Tender>& link, std::string_view line) {
+void Controller::on_inner(const std::shared_ptr<Agent>& link, std::string_view line) {
   Json m = Json::parse(line, nullptr, false);
   if (!m.is_object()) return refuse(link);
   try {
-    if (tenders_[link]) {
+    if (agents_[link]) {
       if (!on_core(link->node, m)) refuse(link);
     } else if (m.value("t", "") == "core") {
-      const std::string name = m.value("name", ""), host = chain::host_of(name);
+      const std::string name = m.value("name", ""), host = replication::host_of(name);
       if (host.empty()) return refuse(link);
       link->node = name;
       node_->meet(host);
       peers_[host].zone = m.value("zone", "");
       peers_[host].name = link->node;
-      tenders_[link] = true;
+      agents_[link] = true;
       if (!peers_[host].conn) dial(host);  // it is up: no need to wait for an opening packet it never got
     } else {
-      on_tender(link, m);
+      on_agent(link, m);
     }
   } catch (const Json::exception&) {  // a field of the wrong type: the peer is not understood
     refuse(link);
   }
 }
 
-void Harbourmaster::refuse(const std::shared_ptr<Tender>& link) {
+void Controller::refuse(const std::shared_ptr<Agent>& link) {
   log_.say("A message of " + (link->node.empty() ? "a new link" : link->node) +
            " is not understood; its link is closed.");
   link->conn->close();
-  tenders_.erase(link);
+  agents_.erase(link);
 }
 
-bool Harbourmaster::on_core(const std::string& from, const Json& m) {
+bool Controller::on_core(const std::string& from, const Json& m) {
   Millis now = loop_.now();
   const std::string t = m.value("t", "");
   if (t == "hm") {
-    auto& p = peers_[chain::host_of(from)];
+    auto& p = peers_[replication::host_of(from)];
     p.acked = m.value("k", std::uint64_t(0));
     p.view = m.value("v", std::uint64_t(0));
     p.nodes = m.value("n", std::size_t(0));
@@ -277,12 +284,12 @@
   } else if (t == "sus") {
     on_suspect(m);
   } else if (t == "sums") {
-    purser_hosts_[m.value("me", "")] = chain::host_of(from);
-    purser_->heard(m.value("me", ""), now, m.value("l", Json()));
+    quota_holder_hosts_[m.value("me", "")] = replication::host_of(from);
+    quota_allocator_->heard(m.value("me", ""), now, m.value("l", Json()));
   } else if (t == "pay") {
-    on_pay(m, [&](const Json& a) { send(chain::host_of(from), a); });
+    on_pay(m, [&](const Json& a) { send(replication::host_of(from), a); });
   } else if (t == "paid") {
-    purser_->paid(m.value("s", ""), m.value("from", ""), m.value("sum", tally::Rights(0)));
+    quota_allocator_->paid(m.value("s", ""), m.value("from", ""), m.value("sum", quota::Rights(0)));
   } else if (t == "tight") {
     InstanceId id{m.value("id", "")};
     tight_[id] = now;
@@ -290,32 +297,32 @@
   } else if (t == "told") {
     if (auto i = Instance::from({m.value("id", "")}, m.value("v", ""))) failover_->told(now, *i);
   } else {
-    if (!chain::well_formed(m)) return false;
+    if (!replication::well_formed(m)) return false;
     node_->receive(now, from, m);
   }
   return true;
 }
 
-bool Harbourmaster::may_grant() const {
+bool Controller::may_grant() const {
   return node_->seated(loop_.now());
 }
 
-std::size_t Harbourmaster::members() const {
+std::size_t Controller::members() const {
   Millis now = loop_.now();
-  std::size_t n = roster_.count(now);
+  std::size_t n = node_leases_.count(now);
   for (auto& [name, p] : peers_)
     if (now - p.told < 3 * kCoreSilentMs) n += p.nodes;
   return n;
 }
 
-bool Harbourmaster::in_view(const std::string& host) const {
+bool Controller::in_view(const std::string& host) const {
   auto p = peers_.find(host);
   return host == settings_.ip ? node_->view().has(node_->self())
                               : p != peers_.end() && node_->view().has(p->second.name);
 }
 
-// The cores a tender may turn to; none when this core cannot know which are in the view today.
-Json Harbourmaster::core_list() const {
+// The cores an agent may turn to; none when this core cannot know which are in the view today.
+Json Controller::core_list() const {
   Json l = Json::array();
   if (!may_grant() && !node_->in_touch(loop_.now())) return l;
   if (in_view(settings_.ip) && !node_->parting()) l.push_back(Json::array({settings_.ip, settings_.zone}));
@@ -324,7 +331,7 @@
   return l;
 }
 
-void Harbourmaster::on_tender(const std::shared_ptr<Tender>& t, const Json& m) {
+void Controller::on_agent(const std::shared_ptr<Agent>& t, const Json& m) {
   Millis now = loop_.now();
   const std::string kind = m.value("t", "");
   if (kind == "who") {
@@ -341,19 +348,19 @@
   } else if (kind == "sound") {
     const std::string service = m.value("s", "");
     Json a{{"t", "depth"}, {"s", service}, {"at", m.value("at", Json())}};
-    if (auto d = soundings_.ask(now, service)) a["p"] = d->position.text(), a["age"] = d->age;
+    if (auto d = met_positions_.ask(now, service)) a["p"] = d->position.text(), a["age"] = d->age;
     t->conn->send(a.dump() + "\n");
   } else if (kind == "full") {
     tighten({m.value("id", "")}, t.get());
   } else if (kind == "renew") {
     bool grant = may_grant();
-    roster_.renew(now, t->node, t->zone, m.value("ack", std::uint64_t(0)), grant);
-    if (m.contains("met")) on_soundings(*t, m["met"]);
+    node_leases_.renew(now, t->node, t->zone, m.value("ack", std::uint64_t(0)), grant);
+    if (m.contains("met")) on_positions(*t, m["met"]);
     if (grant) {
       t->conn->send(Json{{"t", "grant"},
                          {"at", m.value("at", Json())},
                          {"ms", kNodeLeaseMs},
-                         {"k", node_->ledger().stored()},
+                         {"k", node_->state().stored()},
                          {"n", members()},
                          {"life", life_},
                          {"c", now}}
@@ -374,14 +381,14 @@
     report["n"] = t->node;
     on_suspect(report);
   } else if (kind == "sight") {
-    if (!lookout_.report(now, t->zone, t->node, m))
+    if (!outlier_detector_.report(now, t->zone, t->node, m))
       log_.say("A report of " + t->node + " has figures that cannot be; it is dropped.");
   } else if (kind == "pay") {
     on_pay(m, [&](const Json& a) { t->conn->send(a.dump() + "\n"); });
   } else if (kind == "beat" || kind == "leave") {
     on_relayed_beat(t, m);
   } else if (kind == "bye") {
-    roster_.left(t->node);
+    node_leases_.left(t->node);
     tell_peers(false);
   } else if (kind == "status") {
     t->conn->send(status(false).dump() + "\n");
@@ -389,17 +396,17 @@
 }
 
 // Positions of primaries that a node met, stamped by this core's clock as the node knows it.
-void Harbourmaster::on_soundings(const Tender& t, const Json& met) {
+void Controller::on_positions(const Agent& t, const Json& met) {
   if (met.value("life", std::uint64_t(0)) != life_) return;  // the clock of another core, or of a former life
   for (auto& e : met.at("p")) {
     auto p = Position::parse(e.at(1).get<std::string>());
-    if (!chart_.lead(e.at(0)) || (p && soundings_.report(loop_.now(), e.at(0), *p, e.at(2)))) continue;
+    if (!cluster_.lead(e.at(0)) || (p && met_positions_.report(loop_.now(), e.at(0), *p, e.at(2)))) continue;
     return log_.say("A position told by " + t.node + " cannot be; it is dropped.");
   }
 }
 
 // What a node met at a database: to whoever holds the duty.
-void Harbourmaster::on_suspect(const Json& report) {
+void Controller::on_suspect(const Json& report) {
   Millis now = loop_.now();
   if (!node_->leads(now)) {
     const std::string head = node_->view().head();
@@ -418,17 +425,17 @@
   failover_->tick(now);
 }
 
-void Harbourmaster::feed(Tender& t) {
+void Controller::feed(Agent& t) {
   if (!may_grant()) return;  // not even what has been begun: it goes on when the seat is back
-  t.delivery.go_on(node_->ledger(), node_->committed(), node_->serves(loop_.now()), news_,
+  t.delivery.go_on(node_->state(), node_->committed(), node_->serves(loop_.now()), news_,
                    [&t](const std::string& line) { t.conn->send(line); });
 }
 
 // A database has no more connections to give: nodes everywhere keep fewer to it for a while. Told once in
 // half of that while, whoever says so how often; one that has not heard is told alone.
-void Harbourmaster::tighten(const InstanceId& id, Tender* teller) {
+void Controller::tighten(const InstanceId& id, Agent* teller) {
   Millis now = loop_.now();
-  if (!chart_.instance(id)) return;
+  if (!cluster_.instance(id)) return;
   auto [it, fresh] = tight_.emplace(id, now);
   if (!fresh && now < it->second + kTightMs / 2) {
     if (teller) teller->conn->send(Json{{"t", "tight"}, {"id", id.value}}.dump() + "\n");
@@ -440,30 +447,30 @@
 }
 
 // Something passing about a database, to the nodes linked here, or to those of one zone.
-void Harbourmaster::tell_nodes(const char* what, const std::string& id, const std::string& zone) {
+void Controller::tell_nodes(const char* what, const std::string& id, const std::string& zone) {
   const std::string line = Json{{"t", what}, {"id", id}}.dump() + "\n";
-  for (auto& [t, core] : tenders_)
+  for (auto& [t, core] : agents_)
     if (!core && t->delivery.greeted() && (zone.empty() || t->zone == zone)) t->conn->send(line);
 }
 
-void Harbourmaster::feed_all() {
-  for (auto& [t, core] : tenders_)
+void Controller::feed_all() {
+  for (auto& [t, core] : agents_)
     if (!core) feed(*t);
 }
 
-void Harbourmaster::committed(std::uint64_t) {
+void Controller::committed(std::uint64_t) {
   feed_all();
   loop_.rearm();
 }
 
 // The other cores hear how many nodes hang here and what they all have acknowledged.
-void Harbourmaster::tell_peers(bool always) {
+void Controller::tell_peers(bool always) {
   Millis now = loop_.now();
-  std::uint64_t acked = roster_.acknowledged(now, node_->ledger().stored());
-  std::size_t nodes = roster_.count(now);
-  chart_.follow(node_->ledger());
+  std::uint64_t acked = node_leases_.acknowledged(now, node_->state().stored());
+  std::size_t nodes = node_leases_.count(now);
+  cluster_.follow(node_->state());
   bool holding =
-      std::any_of(chart_.leads().begin(), chart_.leads().end(), [](auto& l) { return l.second.hold; });
+      std::any_of(cluster_.leads().begin(), cluster_.leads().end(), [](auto& l) { return l.second.hold; });
   bool due = always || now >= told_at_ + kCoreSilentMs || nodes != told_nodes_ ||
              told_view_ != node_->view().number || (holding && acked != told_acked_);
   if (!due) return;
@@ -474,14 +481,14 @@
   for (auto& [name, p] : peers_) send(name, {{"t", "hm"}, {"n", nodes}, {"k", acked}, {"v", told_view_}});
 }
 
-bool Harbourmaster::all_acknowledged(std::uint64_t number) const {
+bool Controller::all_acknowledged(std::uint64_t number) const {
   Millis now = loop_.now();
   // A core put out lately may have granted leases that still run.
   if (now < node_->put_out_at() + kNodeLeaseMs + kDriftMarginMs) return false;
-  if (roster_.acknowledged(now, node_->ledger().stored()) < number) return false;
+  if (node_leases_.acknowledged(now, node_->state().stored()) < number) return false;
   for (auto& m : node_->view().members) {
     if (m.name == node_->self()) continue;
-    auto p = peers_.find(chain::host_of(m.name));
+    auto p = peers_.find(replication::host_of(m.name));
     if (p == peers_.end() || p->second.name != m.name || p->second.acked < number) return false;
     // A number said in a former view may have stood for a change that was lost with its head.
     if (p->second.view != node_->view().number) return false;
@@ -500,7 +507,7 @@
 
 }  // namespace
 
-void Harbourmaster::on_config(const HttpRequest& r, HttpDone done) {
+void Controller::on_config(const HttpRequest& r, HttpDone done) {
   auto match = r.headers.find("if-match");
   std::uint64_t base = 0;
   if (match != r.headers.end()) {
@@ -527,13 +534,13 @@
     return done(plain(400, wrong));
   }
   // What is acknowledged must bear the losses asked for: the first one waits until the voters are complete.
-  if (!node_->ledger().find(kConfigKey) && !node_->full_strength() && loop_.now() < born_ + kGrowWaitMs)
+  if (!node_->state().find(kConfigKey) && !node_->full_strength() && loop_.now() < born_ + kGrowWaitMs)
     return done(plain(503, "the core is still growing"));
   const std::string what =
       patch ? "A change of " + std::to_string(base) : "Configuration " + std::to_string(revision);
   node_->submit(
       loop_.now(), patch ? patch_update(base, r.body) : config_update(base, r.body),
-      [this, done, what](chain::Answer a) {
+      [this, done, what](replication::Answer a) {
         note(what + (a.status == 200 ? " is acknowledged." : " is not acknowledged: " + a.reason + "."));
         done(a.status == 200 ? plain(200) : plain(a.status == 0 ? 503 : a.status, a.reason));
       });
@@ -541,26 +548,26 @@
 
 namespace {
 
-int run_harbourmaster(const std::string&) {
-  return run_role("harbourmaster", [](Settings settings) {
-    Log log("harbourmaster");
+int run_controller() {
+  return run_role("controller", [](Settings settings) {
+    Log log("controller");
     if (settings.data_directory.empty()) {
       log.say("The settings name no DataDirectory.");
       return 1;
     }
     auto note = [&log](const std::string& sentence) { log.say(sentence); };
-    auto disk = open_ledger(settings.data_directory, note);
+    auto disk = open_store(settings.data_directory, note);
     if (!disk) log.say("The disk cannot be used: " + disk.reason + ". It is tried again.");
     while (!disk) {  // full or stalled disks come back; until then there is nothing to serve
       std::this_thread::sleep_for(std::chrono::milliseconds(kDiskRetryMs));
-      disk = open_ledger(settings.data_directory, note);
+      disk = open_store(settings.data_directory, note);
     }
-    return Harbourmaster(std::move(settings), std::move(*disk.value)).run();
+    return Controller(std::move(settings), std::move(*disk.value)).run();
   });
 }
 
-RegisterCommand harbourmaster_command("harbourmaster",
-                                      {"serves the control plane on a core machine", "", run_harbourmaster});
+const RegisterCommand kControllerCommand("controller", "serves the control plane on a core machine",
+                                         run_controller);
 
 }  // namespace
 }  // namespace pebblespindle
--- a/src/harbourmaster/harbourmaster.h
+++ b/src/controller/controller.h
@@ -1,41 +1,41 @@
-// The core's process: joins chain, registry, roster and duty to sockets and the disk.
+// The core's process: joins chain, registry, node_leases and duty to sockets and the disk.
 #pragma once
 #include <deque>
 #include <map>
 #include <memory>
 
-#include "chain/node.h"
-#include "duty/failover.h"
-#include "harbourmaster/db_caller.h"
-#include "keel/http.h"
-#include "keel/line_conn.h"
-#include "keel/log.h"
-#include "keel/loop.h"
-#include "ledger/sqlite_disk.h"
-#include "lookout/lookout.h"
-#include "ordinance/delivery.h"
-#include "roster/roster.h"
-#include "roster/soundings.h"
-#include "tally/purser.h"
+#include "base/log.h"
+#include "config/config_delivery.h"
+#include "controller/database_client.h"
+#include "failover/failover.h"
+#include "health/outlier_detector.h"
+#include "membership/node_leases.h"
+#include "membership/position_cache.h"
+#include "net/event_loop.h"
+#include "net/http.h"
+#include "net/line_connection.h"
+#include "quota/quota_allocator.h"
+#include "replication/replica.h"
+#include "storage/sqlite_store.h"
 
 namespace pebblespindle {
 
-class Harbourmaster : public chain::Outlet {
+class Controller : public replication::Outlet {
  public:
-  Harbourmaster(Settings settings, std::unique_ptr<SqliteDisk> disk);
+  Controller(Settings settings, std::unique_ptr<SqliteStore> disk);
   int run();
 
-  // chain::Outlet
+  // replication::Outlet
   void send(const std::string& to, const Json& message) override;
-  chain::Verdict judge(const Ledger& ledger, const Json& update) override {
-    return judge_update(ledger, update);
+  replication::Verdict judge(const StateTable& state, const Json& update) override {
+    return judge_update(state, update);
   }
   void committed(std::uint64_t number) override;
   void note(const std::string& sentence) override;  // an event: logged, and shown by status
 
  private:
   struct Peer {  // another core: this side's connection to it
-    LineConn::Ptr conn;
+    LineConnection::Ptr conn;
     bool dialling = false;
     Millis dial_at = 0;
     std::string name, zone;
@@ -44,23 +44,23 @@
     std::size_t nodes = 0;
     Millis told = -100000;
   };
-  struct Tender {
-    LineConn::Ptr conn;
+  struct Agent {
+    LineConnection::Ptr conn;
     std::string node, zone;
     Delivery delivery;
   };
-  static chain::Verdict judge_update(const Ledger& ledger, const Json& update);
+  static replication::Verdict judge_update(const StateTable& state, const Json& update);
 
   // links
   void accept_inner(asio::ip::tcp::socket socket);
-  void on_inner(const std::shared_ptr<Tender>& link, std::string_view line);
+  void on_inner(const std::shared_ptr<Agent>& link, std::string_view line);
   bool on_core(const std::string& from, const Json& m);  // false: malformed
-  void refuse(const std::shared_ptr<Tender>& link);
-  void on_tender(const std::shared_ptr<Tender>& t, const Json& m);
+  void refuse(const std::shared_ptr<Agent>& link);
+  void on_agent(const std::shared_ptr<Agent>& t, const Json& m);
   void dial(const std::string& host);
-  void feed(Tender& t);
+  void feed(Agent& t);
   void feed_all();
-  void tighten(const InstanceId& id, Tender* teller);
+  void tighten(const InstanceId& id, Agent* teller);
   void tell_nodes(const char* what, const std::string& id, const std::string& zone = {});
   void tell_peers(bool always);
   Json core_list() const;
@@ -79,38 +79,39 @@
   std::size_t members() const;  // nodes with a live lease, here and at the other cores
   bool all_acknowledged(std::uint64_t number) const;
   void on_suspect(const Json& report);
-  void on_relayed_beat(const std::shared_ptr<Tender>& t, const Json& m);
+  void on_relayed_beat(const std::shared_ptr<Agent>& t, const Json& m);
   void on_pay(const Json& m, const std::function<void(const Json&)>& answer);
-  void keep_tally();
-  void on_soundings(const Tender& t, const Json& met);
+  void update_quotas();
+  void on_positions(const Agent& t, const Json& met);
 
-  Log log_{"harbourmaster"};
+  Log log_{"controller"};
   Settings settings_;
-  Loop loop_;
-  std::unique_ptr<SqliteDisk> disk_;
-  std::unique_ptr<chain::Node> node_;
-  std::unique_ptr<duty::Failover> failover_;
-  DbCaller db_{loop_};
-  Roster roster_;
-  Soundings soundings_;
+  EventLoop loop_;
+  std::unique_ptr<SqliteStore> disk_;
+  std::unique_ptr<replication::Node> node_;
+  std::unique_ptr<failover::Failover> failover_;
+  DatabaseClient db_{loop_};
+  NodeLeases node_leases_;
+  PositionCache met_positions_;
   std::uint64_t life_ = 0;             // names this process
   std::map<std::string, Peer> peers_;  // by host
-  std::map<std::shared_ptr<Tender>, bool> tenders_;
+  std::map<std::shared_ptr<Agent>, bool> agents_;
   std::unique_ptr<Acceptor> inner_;
   std::unique_ptr<HttpServer> control_;
-  std::unique_ptr<tally::Purser> purser_;
-  std::map<std::string, std::string> purser_hosts_;  // by holder: the core it is at
+  std::unique_ptr<quota::QuotaAllocator> quota_allocator_;
+  std::map<std::string, std::string> quota_holder_hosts_;  // by holder: the core it is at
   Millis sums_at_ = 0;
   Delivery::News news_;
   std::map<InstanceId, Millis> tight_;  // databases that turned connections away, and since when
-  Lookout lookout_{[this](const std::string& s) { note(s); },
-                   [this](const std::string& id, const std::string& zone) { tell_nodes("avoid", id, zone); }};
+  OutlierDetector outlier_detector_{
+      [this](const std::string& s) { note(s); },
+      [this](const std::string& id, const std::string& zone) { tell_nodes("avoid", id, zone); }};
   struct Event {
     Millis at = 0;
     std::string sentence;
   };
   std::deque<Event> events_;  // the newest last
-  Chart chart_;               // of what the ledger holds
+  ClusterState cluster_;      // of what the state holds
   std::uint64_t told_acked_ = 0, told_view_ = 0;
   std::size_t told_nodes_ = 0;
   Millis told_at_ = 0, born_ = loop_.now(), seated_at_, last_tick_ = 0, part_by_ = 0;
--- a/src/harbourmaster/db_caller.cc
+++ b/src/controller/database_client.cc
@@ -1,12 +1,13 @@
-#include "harbourmaster/db_caller.h"
+#include "controller/database_client.h"
 
-#include "keel/constants.h"
+#include "base/constants.h"
 
 namespace pebblespindle {
 using namespace constants;
-using duty::DbReply;
+using failover::DbReply;
 
-void DbCaller::ask(const Instance& to, const std::string& statement, std::function<void(DbReply)> done) {
+void DatabaseClient::ask(const Instance& to, const std::string& statement,
+                         std::function<void(DbReply)> done) {
   auto& line = lines_[to.id];
   bool fresh = !line;
   if (fresh) line = std::make_shared<Line>();
@@ -22,10 +23,10 @@
     send_first(to.id, l);
 }
 
-void DbCaller::connect(const Instance& to, const LinePtr& line) {
-  LineConn::connect(
+void DatabaseClient::connect(const Instance& to, const LinePtr& line) {
+  LineConnection::connect(
       loop_.io(), to.address, kInfoTimeoutMs, kMaxMessageBytes,
-      [this, to, line](LineConn::Ptr conn, const asio::error_code& ec) {
+      [this, to, line](LineConnection::Ptr conn, const asio::error_code& ec) {
         if (line->calls.empty()) {  // given up meanwhile
           if (conn) conn->close();
           return;
@@ -35,23 +36,24 @@
           return fail(to.id, line, silent ? DbReply::Kind::kSilent : DbReply::Kind::kRefused);
         }
         line->conn = conn;
-        conn->start({[this, id = to.id, line](std::string_view text) { on_line(id, line, text); },
-                     [this, id = to.id, line](LineConn::End) { fail(id, line, DbReply::Kind::kRefused); },
-                     [this] { loop_.rearm(); }});
-        conn->send("CONNECT " + to.service + " harbourmaster " + to.id.value + "\r\n");
+        conn->start(
+            {[this, id = to.id, line](std::string_view text) { on_line(id, line, text); },
+             [this, id = to.id, line](LineConnection::End) { fail(id, line, DbReply::Kind::kRefused); },
+             [this] { loop_.rearm(); }});
+        conn->send("CONNECT " + to.service + " controller " + to.id.value + "\r\n");
       });
 }
 
-void DbCaller::send_first(const InstanceId& id, const LinePtr& line) {
+void DatabaseClient::send_first(const InstanceId& id, const LinePtr& line) {
   if (line->calls.front().statement != "INFO" && may_act && !may_act())
     return fail(id, line, DbReply::Kind::kSilent);
   line->reply = {};
   line->reply.kind = DbReply::Kind::kError;
-  line->conn->send(wire::query("-", line->calls.front().statement));
+  line->conn->send(sql_protocol::query("-", line->calls.front().statement));
 }
 
-void DbCaller::on_line(const InstanceId& id, const LinePtr& line, std::string_view text) {
-  auto word = wire::take(text);
+void DatabaseClient::on_line(const InstanceId& id, const LinePtr& line, std::string_view text) {
+  auto word = sql_protocol::take(text);
   if (!line->ready) {
     if (word != "IDLE") {
       line->reply.error = std::string(text);
@@ -62,7 +64,7 @@
     return;
   }
   if (word == "DATAROW") {
-    if (auto info = wire::parse_info(text)) {
+    if (auto info = sql_protocol::parse_info(text)) {
       line->reply.kind = DbReply::Kind::kRow;
       line->reply.info = *info;
     }
@@ -78,7 +80,7 @@
   }
 }
 
-void DbCaller::fail(const InstanceId& id, const LinePtr& line, DbReply::Kind kind) {
+void DatabaseClient::fail(const InstanceId& id, const LinePtr& line, DbReply::Kind kind) {
   auto it = lines_.find(id);
   if (it != lines_.end() && it->second == line) lines_.erase(it);
   if (line->conn) line->conn->close();
@@ -88,7 +90,7 @@
   for (auto& c : calls) c.done({kind, {}, line->reply.error});
 }
 
-void DbCaller::expire() {
+void DatabaseClient::expire() {
   for (auto it = lines_.begin(); it != lines_.end();) {
     auto& l = it->second;
     if (l->calls.empty() && loop_.now() - l->used > kPlatformTimeoutMs * 3) {
--- a/src/harbourmaster/db_caller.h
+++ b/src/controller/database_client.h
@@ -3,16 +3,16 @@
 #include <map>
 #include <memory>
 
-#include "duty/failover.h"
-#include "keel/line_conn.h"
-#include "keel/loop.h"
+#include "failover/failover.h"
+#include "net/event_loop.h"
+#include "net/line_connection.h"
 
 namespace pebblespindle {
 
-class DbCaller {
+class DatabaseClient {
  public:
-  explicit DbCaller(Loop& loop) : loop_(loop) {}
-  void ask(const Instance& to, const std::string& statement, std::function<void(duty::DbReply)> done);
+  explicit DatabaseClient(EventLoop& loop) : loop_(loop) {}
+  void ask(const Instance& to, const std::string& statement, std::function<void(failover::DbReply)> done);
   // Asked right before anything but a question goes out: a process that was frozen while it connected may
   // have lost the duty since.
   std::function<bool()> may_act;
@@ -21,22 +21,22 @@
  private:
   struct Call {
     std::string statement;
-    std::function<void(duty::DbReply)> done;
-    Timers::Id timer = 0;
+    std::function<void(failover::DbReply)> done;
+    TimerQueue::Id timer = 0;
   };
   struct Line {
-    LineConn::Ptr conn;
+    LineConnection::Ptr conn;
     bool ready = false;
     std::vector<Call> calls;  // the first is under way
-    duty::DbReply reply;
+    failover::DbReply reply;
     Millis used = 0;
   };
   using LinePtr = std::shared_ptr<Line>;
   void connect(const Instance& to, const LinePtr& line);
   void on_line(const InstanceId& id, const LinePtr& line, std::string_view text);
   void send_first(const InstanceId& id, const LinePtr& line);
-  void fail(const InstanceId& id, const LinePtr& line, duty::DbReply::Kind kind);
-  Loop& loop_;
+  void fail(const InstanceId& id, const LinePtr& line, failover::DbReply::Kind kind);
+  EventLoop& loop_;
   std::map<InstanceId, LinePtr> lines_;
 };
 
--- a/src/harbourmaster/status.cc
+++ b/src/controller/status_report.cc
@@ -1,9 +1,9 @@
 // What a core tells of itself and of the fleet: sums first, and by name what is out of the ordinary.
-#include "harbourmaster/harbourmaster.h"
+#include "controller/controller.h"
 
 namespace pebblespindle {
 
-Json Harbourmaster::status(bool whole) const {
+Json Controller::status(bool whole) const {
   Millis now = loop_.now();
   Json members = Json::array(), catching_up = Json::array();
   for (auto& m : node_->view().members) {
@@ -12,37 +12,37 @@
   }
   // Sums first, and what is out of the ordinary by name: with hundreds of nodes the rest tells nothing.
   Json zones = Json::object(), behind = Json::array(), suspended = Json::array(), leaving = Json::array();
-  for (auto& [name, e] : roster_.nodes()) {
+  for (auto& [name, e] : node_leases_.nodes()) {
     zones[e.zone] = zones.value(e.zone, 0) + 1;
     if (e.acked < node_->committed()) behind.push_back(name);
   }
-  Chart chart;
-  chart.follow(node_->ledger());
-  for (auto& [id, i] : chart.instances())
+  ClusterState cluster;
+  cluster.follow(node_->state());
+  for (auto& [id, i] : cluster.instances())
     if (i.draining) leaving.push_back(id.value);
-  for (auto& [service, l] : chart.leads())
+  for (auto& [service, l] : cluster.leads())
     if (l.hold) suspended.push_back(service);
-  Json nodes{{"leases", roster_.count(now)}, {"by_zone", zones}, {"behind", behind}};
-  Json databases{{"known", chart.instances().size()}, {"leaving", leaving}};
-  Json services{{"led", chart.leads().size()}, {"suspended", suspended}};
-  Json rights = purser_->sums();  // by tenant, thousandths of an operation, here
+  Json nodes{{"leases", node_leases_.count(now)}, {"by_zone", zones}, {"behind", behind}};
+  Json databases{{"known", cluster.instances().size()}, {"leaving", leaving}};
+  Json services{{"led", cluster.leads().size()}, {"suspended", suspended}};
+  Json rights = quota_allocator_->sums();  // by tenant, thousandths of an operation, here
   if (whole) {
-    for (auto& [name, e] : roster_.nodes())
+    for (auto& [name, e] : node_leases_.nodes())
       nodes["all"][name] = {{"zone", e.zone}, {"acknowledged", e.acked}, {"lease_ms", e.until - now}};
-    for (auto& [id, i] : chart.instances())
+    for (auto& [id, i] : cluster.instances())
       databases["all"].push_back({{"id", id.value},
                                   {"service", i.service},
                                   {"zone", i.zone},
                                   {"address", i.address.text()},
                                   {"draining", i.draining},
                                   {"primary", i.primary}});
-    for (auto& [service, l] : chart.leads())
+    for (auto& [service, l] : cluster.leads())
       services["all"][service] = {{"primary", l.primary.value}, {"suspended", l.hold}, {"term", l.term}};
   }
   Json events = Json::array();
   for (auto& e : events_) events.push_back({{"ago_ms", now - e.at}, {"what", e.sentence}});
   Json revision;
-  if (chart.fed()) revision = chart.config().revision;
+  if (cluster.fed()) revision = cluster.config().revision;
   return {
       {"core", settings_.node_name},
       {"zone", settings_.zone},
@@ -54,14 +54,15 @@
         {"catching_up", catching_up}}},
       {"seated", node_->seated(now)},
       {"disk", node_->sick() ? "refuses writes" : "well"},
-      {"change", {{"stored", node_->ledger().stored()}, {"committed", node_->committed()}}},
+      {"change", {{"stored", node_->state().stored()}, {"committed", node_->committed()}}},
       {"configuration", revision},
       {"duty",
        {{"holder", node_->view().head()}, {"token", node_->view().headed}, {"held_here", node_->leads(now)}}},
       {"nodes", nodes},
       {"rights", whole ? rights : Json()},
       {"services", services},
-      {"trouble", {{"databases", lookout_.databases(now)}, {"routes", lookout_.routes(now)}}},
+      {"trouble",
+       {{"databases", outlier_detector_.databases(now)}, {"routes", outlier_detector_.routes(now)}}},
       {"events", events},
       {"databases", databases}};
 }
--- a/src/duty/failover.cc
+++ b/src/failover/failover.cc
@@ -1,27 +1,27 @@
-#include "duty/failover.h"
+#include "failover/failover.h"
 
 #include <algorithm>
 
-#include "keel/constants.h"
-#include "ordinance/ordinance.h"
+#include "base/constants.h"
+#include "config/update_validation.h"
 
-namespace pebblespindle::duty {
+namespace pebblespindle::failover {
 using namespace constants;
 
-const Chart& Failover::chart() {
-  if (!chart_.follow(ledger_)) return chart_;
+const ClusterState& Failover::cluster() {
+  if (!cluster_.follow(state_)) return cluster_;
   std::erase_if(known_, [&](auto& k) {
-    if (chart_.instance(k.first)) return false;
+    if (cluster_.instance(k.first)) return false;
     departed_.push_back({k.second, now_});
     return true;
   });
-  for (auto& [id, i] : chart_.instances()) known_[id] = i;
-  return chart_;
+  for (auto& [id, i] : cluster_.instances()) known_[id] = i;
+  return cluster_;
 }
 
 std::vector<Instance> Failover::members(const std::string& service) {
   std::vector<Instance> out;
-  for (auto* i : chart().of(service)) out.push_back(*i);
+  for (auto* i : cluster().of(service)) out.push_back(*i);
   return out;
 }
 
@@ -67,17 +67,17 @@
 }
 
 std::optional<Lead> Failover::lead(const std::string& service) {
-  const Lead* l = chart().lead(service);
+  const Lead* l = cluster().lead(service);
   return l ? std::optional(*l) : std::nullopt;
 }
 
 std::optional<Instance> Failover::instance(const InstanceId& id) {
-  const Instance* i = chart().instance(id);
+  const Instance* i = cluster().instance(id);
   return i ? std::optional(*i) : std::nullopt;
 }
 
 int Failover::sync_replicas(const std::string& service) {
-  auto& services = chart().config().services;
+  auto& services = cluster().config().services;
   auto it = services.find(service);
   return it == services.end() ? 1 : it->second.sync_replicas;
 }
@@ -153,7 +153,7 @@
 
 void Failover::tick(Millis now) {
   now_ = now;
-  chart();
+  cluster();
   if (std::uint64_t token = out_.token(); token != token_) {  // the duty has been another's meanwhile
     token_ = token;
     jobs_.clear();
@@ -161,7 +161,7 @@
   }
   if (!out_.holds()) return;  // with a change of view it comes back in a moment
   std::vector<std::string> services;
-  for (auto& [service, l] : chart().leads()) services.push_back(service);
+  for (auto& [service, l] : cluster().leads()) services.push_back(service);
   for (auto& s : services) {
     consider(now, s, jobs_[s]);
     release(now, s);
@@ -174,14 +174,14 @@
   switch (job.step) {
     case Step::kIdle: {
       if (l->hold) {  // taken over from another holder, or just begun
-        job.held_number = ledger_.find(lead_key(service))->number;
+        job.held_number = state_.find(lead_key(service))->number;
         job.held_since = now;
         job.called = true;  // another holder may have called
         return go(job, Step::kHolding);
       }
       if (now < job.retry_at) return;
       auto primary = instance(l->primary);
-      auto& all = chart().of(service);
+      auto& all = cluster().of(service);
       bool other = std::any_of(all.begin(), all.end(), [&](auto* i) { return i->id != l->primary; });
       bool successor =
           std::any_of(all.begin(), all.end(), [&](auto* i) { return i->id != l->primary && !i->draining; });
@@ -251,7 +251,7 @@
 void Failover::begin(Millis now, const std::string& service, const Lead& l, bool planned,
                      const std::string& why) {
   auto& job = jobs_[service];
-  const Row* row = ledger_.find(lead_key(service));
+  const Row* row = state_.find(lead_key(service));
   if (!row) return;
   out_.note("Failover of " + service + " begins: " + why + " (" + l.primary.value + ").");
   Lead next = l;
@@ -262,7 +262,7 @@
   job.since = now;
   go(job, Step::kAsking);
   std::uint64_t round = job.round;
-  out_.submit(lead_update(service, row->value, next), [this, service, round](chain::Answer) {
+  out_.submit(lead_update(service, row->value, next), [this, service, round](replication::Answer) {
     auto& j = jobs_[service];
     if (j.step != Step::kAsking || j.round != round) return;
     auto current = lead(service);
@@ -270,7 +270,7 @@
       j.retry_at = now_ + kSwitchRetryMs;
       return go(j, Step::kIdle);
     }
-    j.held_number = ledger_.find(lead_key(service))->number;
+    j.held_number = state_.find(lead_key(service))->number;
     j.held_since = now_;
     go(j, Step::kHolding);
     consider(now_, service, j);
@@ -326,7 +326,7 @@
   note_departing(service, job);
   for (auto& [id, r] : job.replies) {
     // Its address is another's by now: the database of that name is no more.
-    if (r.error.starts_with("WRONGNODE")) out_.submit(leave_update(id), [](chain::Answer) {});
+    if (r.error.starts_with("WRONGNODE")) out_.submit(leave_update(id), [](replication::Answer) {});
     if (r.kind != DbReply::Kind::kRow) continue;
     newest = std::max({newest, r.info.term, r.info.received.term, r.info.held});
     const std::uint64_t known = std::max(l->term, job.follow_term);
@@ -493,14 +493,14 @@
 
 void Failover::announce(Millis now, const std::string& service, Job& job, const InstanceId& id,
                         std::uint64_t term) {
-  const Row* row = ledger_.find(lead_key(service));
+  const Row* row = state_.find(lead_key(service));
   auto l = lead(service);
   if (!row || !l) return;
   go(job, Step::kFinishing);
   std::uint64_t round = job.round;
   out_.note("Failover of " + service + ": " + id.value + " leads term " + std::to_string(term) + ".");
   out_.submit(lead_update(service, row->value, Lead{id, false, false, term, true}),
-              [this, service, round](chain::Answer) {
+              [this, service, round](replication::Answer) {
                 auto& j = jobs_[service];
                 if (j.round != round) return;
                 auto current = lead(service);
@@ -513,7 +513,7 @@
 }
 
 // After a switch, or one given up: whoever is held receives again, and a former primary learns that it is
-// one. The ledger says so until all have answered, so that the next holder goes on where this one stops.
+// one. The state says so until all have answered, so that the next holder goes on where this one stops.
 void Failover::release(Millis now, const std::string& service) {
   auto l = lead(service);
   if (!l || l->hold || !l->release) {
@@ -534,11 +534,11 @@
     return;
   }
   if (whom.empty()) {
-    const Row* row = ledger_.find(lead_key(service));
+    const Row* row = state_.find(lead_key(service));
     Lead next = *l;
     next.release = false;
     r.retry_at = now + kSwitchRetryMs;
-    return out_.submit(lead_update(service, row->value, next), [](chain::Answer) {});
+    return out_.submit(lead_update(service, row->value, next), [](replication::Answer) {});
   }
   r.awaited = whom.size();
   r.retry_at = now + kSwitchRetryMs * Millis(std::min<std::size_t>(++r.tries, 5));
@@ -572,7 +572,7 @@
 
 // The primary is there after all: the replicas go on receiving and it leads again.
 void Failover::abandon(Millis now, const std::string& service, Job& job) {
-  const Row* row = ledger_.find(lead_key(service));
+  const Row* row = state_.find(lead_key(service));
   auto l = lead(service);
   if (!row || !l) return;
   out_.note("Failover of " + service + " is given up: the primary answers.");
@@ -581,7 +581,7 @@
   Lead next = *l;
   next.hold = next.planned = false;
   next.release = true;
-  out_.submit(lead_update(service, row->value, next), [this, service, round](chain::Answer) {
+  out_.submit(lead_update(service, row->value, next), [this, service, round](replication::Answer) {
     auto& j = jobs_[service];
     if (j.round != round) return;
     auto current = lead(service);
@@ -592,4 +592,4 @@
   (void)now;
 }
 
-}  // namespace pebblespindle::duty
+}  // namespace pebblespindle::failover
--- a/src/duty/failover.h
+++ b/src/failover/failover.h
@@ -4,17 +4,17 @@
 #include <map>
 #include <set>
 
-#include "chain/node.h"
-#include "keel/constants.h"
-#include "ordinance/chart.h"
-#include "wire/wire.h"
+#include "base/constants.h"
+#include "config/cluster_state.h"
+#include "replication/replica.h"
+#include "sql_protocol/sql_protocol.h"
 
-namespace pebblespindle::duty {
+namespace pebblespindle::failover {
 
 // How a database answered a statement of the core's own.
 struct DbReply {
   enum class Kind { kRow, kError, kRefused, kSilent } kind = Kind::kSilent;
-  wire::Info info;
+  sql_protocol::Info info;
   std::string error;  // its code, for the log
 };
 
@@ -26,12 +26,12 @@
     std::function<void(const Instance&, const std::string& statement, std::function<void(DbReply)>)> ask;
     std::function<void(const std::string& service, const InstanceId&, std::function<void(int status)>)>
         promote;
-    std::function<void(Json update, std::function<void(chain::Answer)>)> submit;
+    std::function<void(Json update, std::function<void(replication::Answer)>)> submit;
     std::function<bool(std::uint64_t number)> all_acknowledged;  // by every node with a live lease
     std::function<std::size_t()> members;                        // nodes with a live lease
     std::function<void(const std::string&)> note;
   };
-  Failover(const Ledger& ledger, Out out) : ledger_(ledger), out_(std::move(out)) {}
+  Failover(const StateTable& state, Out out) : state_(state), out_(std::move(out)) {}
 
   void tick(Millis now);
   bool busy() const;  // a switch is under way
@@ -84,7 +84,7 @@
   std::vector<Instance> receivers(const std::string& service, const Job& job);
   std::optional<Lead> lead(const std::string& service);
   std::optional<Instance> instance(const InstanceId& id);
-  const Chart& chart();
+  const ClusterState& cluster();
   void consider(Millis now, const std::string& service, Job& job);
   void begin(Millis now, const std::string& service, const Lead& lead, bool planned, const std::string& why);
   void go(Job& job, Step step);
@@ -104,8 +104,8 @@
   bool found_slow(const std::string& service, const InstanceId& id);
   int sync_replicas(const std::string& service);
 
-  const Ledger& ledger_;
-  Chart chart_;
+  const StateTable& state_;
+  ClusterState cluster_;
   struct Departed {
     Instance instance;
     Millis since = 0;
@@ -133,4 +133,4 @@
   std::uint64_t last_release_ = 0, token_ = 0;
 };
 
-}  // namespace pebblespindle::duty
+}  // namespace pebblespindle::failover
--- a/src/lookout/lookout.cc
+++ b/src/health/outlier_detector.cc
@@ -1,8 +1,8 @@
-#include "lookout/lookout.h"
+#include "health/outlier_detector.h"
 
 #include <algorithm>
 
-#include "keel/constants.h"
+#include "base/constants.h"
 
 namespace pebblespindle {
 using namespace constants;
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-bool Lookout::report(Millis now, const std::string& zone, const std::string& node, const Json& m) {
+bool OutlierDetector::report(Millis now, const std::string& zone, const std::string& node, const Json& m) {
   const Json none = Json::array();
   const Json &d = m.contains("d") ? m.at("d") : none, &r = m.contains("r") ? m.at("r") : none;
   if (!d.is_array() || !r.is_array()) return false;
@@ -48,7 +48,7 @@
   return true;
 }
 
-Lookout::Seen Lookout::sum(const Sight& s) {
+OutlierDetector::Seen OutlierDetector::sum(const Sight& s) {
   Seen all;
   for (auto& [node, x] : s.nodes) {
     all.asked += x.asked;
@@ -63,7 +63,7 @@
 }
 
 // One line when several nodes of a zone agree: a single one may be at fault itself.
-void Lookout::judge(Millis now, const Key& key, Sight& s) {
+void OutlierDetector::judge(Millis now, const Key& key, Sight& s) {
   Seen all = sum(s);
   int slow = 0, closed = 0;
   for (auto& [node, x] : s.nodes) {
@@ -87,7 +87,7 @@
         (closed > 0 ? "; " + std::to_string(closed) + " have closed it off." : "."));
 }
 
-void Lookout::expire(Millis now) {
+void OutlierDetector::expire(Millis now) {
   for (auto* table : {&databases_, &routes_})
     for (auto it = table->begin(); it != table->end();) {
       auto& [key, s] = *it;
@@ -98,7 +98,7 @@
     }
 }
 
-Json Lookout::databases(Millis now) const {
+Json OutlierDetector::databases(Millis now) const {
   Json out = Json::array();
   for (auto& [key, s] : databases_) {
     Seen all = sum(s);
@@ -114,7 +114,7 @@
   return out;
 }
 
-Json Lookout::routes(Millis now) const {
+Json OutlierDetector::routes(Millis now) const {
   Json out = Json::array();
   for (auto& [key, s] : routes_) {
     Seen all = sum(s);
--- a/src/lookout/lookout.h
+++ b/src/health/outlier_detector.h
@@ -5,15 +5,15 @@
 #include <map>
 #include <string>
 
-#include "keel/schema.h"
+#include "base/json_schema.h"
 
 namespace pebblespindle {
 
-class Lookout {
+class OutlierDetector {
  public:
   // avoid: the nodes of a zone together find that a database fails; said again while they do.
   using Avoid = std::function<void(const std::string& database, const std::string& zone)>;
-  explicit Lookout(std::function<void(const std::string&)> note, Avoid avoid = {})
+  explicit OutlierDetector(std::function<void(const std::string&)> note, Avoid avoid = {})
       : note_(std::move(note)), avoid_(std::move(avoid)) {}
 
   // A node's report of what was out of the ordinary in its last window: {"d": [[database, asked, failed, ms,
--- a/src/main.cc
+++ b/src/main.cc
@@ -1,24 +1,26 @@
+// The one program: reads the command line and runs the subcommand it names.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <iostream>
 
-#include "keel/registry.h"
+#include "cli/command_registry.h"
 
 int main(int argc, char** argv) {
   using namespace pebblespindle;
+  // A peer that closes its connection is an error of that write, not the end of the process.
   std::signal(SIGPIPE, SIG_IGN);
-  CLI::App app{"pebblespindle: pools client sessions onto replicated databases"};
+  CLI::App app{
+      "pebblespindle: pools client sessions onto replicated databases, and carries calls of services"};
   app.require_subcommand(1);
-  std::string argument;
-  for (auto& [name, command] : commands()) {
-    auto* sub = app.add_subcommand(name, command.help);
-    if (!command.argument.empty()) sub->add_option(command.argument, argument, command.argument);
-  }
+  app.footer("Exit codes: 0 done; 1 could not be done; 2 wrong words on the command line.");
+  std::map<std::string, Command::Run> run;
+  for (auto& [name, command] : commands())
+    run[name] = command.prepare(*app.add_subcommand(name, command.help));
   try {
     app.parse(argc, argv);
-  } catch (const CLI::ParseError& e) {
-    int code = app.exit(e, std::cout, std::cerr);
-    return code == 0 ? 0 : 2;
+  } catch (const CLI::ParseError& error) {
+    const bool asked_for_help = app.exit(error, std::cout, std::cerr) == 0;
+    return asked_for_help ? kExitOk : kExitUsage;
   }
-  return commands().at(app.get_subcommands().front()->get_name()).run(argument);
+  return run.at(app.get_subcommands().front()->get_name())();
 }
--- a/src/roster/roster.cc
+++ b/src/membership/node_leases.cc
@@ -1,25 +1,25 @@
-#include "roster/roster.h"
+#include "membership/node_leases.h"
 
 #include <algorithm>
 
-#include "keel/constants.h"
+#include "base/constants.h"
 
 namespace pebblespindle {
 using namespace constants;
 
-void Roster::renew(Millis now, const std::string& node, const std::string& zone, std::uint64_t acked,
-                   bool granted) {
+void NodeLeases::renew(Millis now, const std::string& node, const std::string& zone, std::uint64_t acked,
+                       bool granted) {
   auto& e = nodes_[node];
   e.zone = zone;
   e.acked = acked;  // a restarted node starts again from what it holds now
   if (granted) e.until = now + kNodeLeaseMs + kDriftMarginMs;
 }
 
-void Roster::expire(Millis now) {
+void NodeLeases::expire(Millis now) {
   std::erase_if(nodes_, [&](auto& n) { return n.second.until <= now; });
 }
 
-std::uint64_t Roster::acknowledged(Millis now, std::uint64_t all) const {
+std::uint64_t NodeLeases::acknowledged(Millis now, std::uint64_t all) const {
   if (now < born_ + kNodeLeaseMs + kDriftMarginMs) return 0;
   std::uint64_t least = all;
   for (auto& [name, e] : nodes_)
@@ -27,7 +27,7 @@
   return least;
 }
 
-std::size_t Roster::count(Millis now) const {
+std::size_t NodeLeases::count(Millis now) const {
   return std::size_t(
       std::count_if(nodes_.begin(), nodes_.end(), [&](auto& n) { return n.second.until > now; }));
 }
--- a/src/roster/roster.h
+++ b/src/membership/node_leases.h
@@ -3,13 +3,13 @@
 #include <map>
 #include <string>
 
-#include "keel/types.h"
+#include "base/types.h"
 
 namespace pebblespindle {
 
-class Roster {
+class NodeLeases {
  public:
-  explicit Roster(Millis born) : born_(born) {}
+  explicit NodeLeases(Millis born) : born_(born) {}
 
   // A node renews; granted tells whether this core may give leases just now.
   void renew(Millis now, const std::string& node, const std::string& zone, std::uint64_t acked, bool granted);
--- a/src/roster/soundings.h
+++ b/src/membership/position_cache.h
@@ -17,12 +17,12 @@
 #include <map>
 #include <string>
 
-#include "keel/constants.h"
-#include "keel/types.h"
+#include "base/constants.h"
+#include "base/types.h"
 
 namespace pebblespindle {
 
-class Soundings {
+class PositionCache {
  public:
   // stamp: by this core's clock, not later than the position was asked for.
   bool report(Millis now, const std::string& service, Position p, Millis stamp) {
--- a/src/keel/loop.cc
+++ b/src/net/event_loop.cc
@@ -1,24 +1,24 @@
-#include "keel/loop.h"
+#include "net/event_loop.h"
 
 #include <chrono>
 
 namespace pebblespindle {
 
-Loop::Loop() = default;
+EventLoop::EventLoop() = default;
 
-Millis Loop::now() const {
+Millis EventLoop::now() const {
   using namespace std::chrono;
   return duration_cast<milliseconds>(steady_clock::now().time_since_epoch()).count();
 }
 
-void Loop::on_signal(int number, std::function<void()> fn) {
+void EventLoop::on_signal(int number, std::function<void()> fn) {
   signals_.add(number);
   bool first = handlers_.empty();
   handlers_[number] = std::move(fn);
   if (first) wait_signal();
 }
 
-void Loop::wait_signal() {
+void EventLoop::wait_signal() {
   signals_.async_wait([this](const asio::error_code& ec, int number) {
     if (ec) return;
     auto it = handlers_.find(number);
@@ -28,7 +28,7 @@
   });
 }
 
-void Loop::every(Millis period, std::function<void()> fn) {
+void EventLoop::every(Millis period, std::function<void()> fn) {
   timers_.at(now() + period, [this, period, fn] {
     fn();
     every(period, fn);
@@ -36,7 +36,7 @@
   rearm();
 }
 
-void Loop::rearm() {
+void EventLoop::rearm() {
   auto next = timers_.next();
   if (!next) {
     if (armed_for_ >= 0) kernel_timer_.cancel();
@@ -55,7 +55,7 @@
   });
 }
 
-void Loop::run() {
+void EventLoop::run() {
   rearm();
   io_.run();
 }
--- a/src/keel/loop.h
+++ b/src/net/event_loop.h
@@ -3,16 +3,16 @@
 #include <asio.hpp>
 #include <functional>
 
-#include "keel/timers.h"
+#include "net/timer_queue.h"
 
 namespace pebblespindle {
 
-class Loop {
+class EventLoop {
  public:
-  Loop();
+  EventLoop();
   Millis now() const;
   asio::io_context& io() { return io_; }
-  Timers& timers() { return timers_; }
+  TimerQueue& timers() { return timers_; }
   void on_signal(int number, std::function<void()> fn);
   void every(Millis period, std::function<void()> fn);
   // Re-arms the one kernel timer; called after anything that may have set an earlier timer.
@@ -26,7 +26,7 @@
   asio::steady_timer kernel_timer_{io_};
   asio::signal_set signals_{io_};
   std::map<int, std::function<void()>> handlers_;
-  Timers timers_;
+  TimerQueue timers_;
   Millis armed_for_ = -1;
 };
 
--- a/src/keel/http.cc
+++ b/src/net/http.cc
@@ -1,9 +1,9 @@
-#include "keel/http.h"
+#include "net/http.h"
 
 #include <algorithm>
 
-#include "keel/constants.h"
-#include "keel/http_reader.h"
+#include "base/constants.h"
+#include "net/http_reader.h"
 
 namespace pebblespindle {
 namespace {
--- a/src/keel/http.h
+++ b/src/net/http.h
@@ -6,7 +6,7 @@
 #include <memory>
 #include <string>
 
-#include "keel/line_conn.h"
+#include "net/line_connection.h"
 
 namespace pebblespindle {
 
--- a/src/keel/http_reader.cc
+++ b/src/net/http_reader.cc
@@ -1,4 +1,4 @@
-#include "keel/http_reader.h"
+#include "net/http_reader.h"
 
 #include <strings.h>
 
--- a/src/keel/line_conn.cc
+++ b/src/net/line_connection.cc
@@ -1,8 +1,8 @@
-#include "keel/line_conn.h"
+#include "net/line_connection.h"
 
 #include <netinet/tcp.h>
 
-#include "keel/constants.h"
+#include "base/constants.h"
 
 namespace pebblespindle {
 
@@ -14,18 +14,19 @@
   ::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &value, sizeof value);
 }
 
-LineConn::LineConn(tcp::socket socket, std::size_t max_line, Kind kind)
+LineConnection::LineConnection(tcp::socket socket, std::size_t max_line, Kind kind)
     : socket_(std::move(socket)), max_line_(max_line), kind_(kind) {
   asio::error_code ignored;
   socket_.non_blocking(true, ignored);
   socket_.set_option(tcp::no_delay(true), ignored);
 }
 
-void LineConn::connect(asio::io_context& io, const Endpoint& to, Millis timeout_ms, std::size_t max_line,
-                       std::function<void(Ptr, const asio::error_code&)> done, Kind kind) {
+void LineConnection::connect(asio::io_context& io, const Endpoint& to, Millis timeout_ms,
+                             std::size_t max_line, std::function<void(Ptr, const asio::error_code&)> done,
+                             Kind kind) {
   asio::error_code ec;
   auto address = asio::ip::make_address(to.host, ec);
-  auto conn = std::make_shared<LineConn>(tcp::socket(io), max_line, kind);
+  auto conn = std::make_shared<LineConnection>(tcp::socket(io), max_line, kind);
   if (!ec) conn->socket_.open(tcp::v4(), ec);
   if (ec) {
     asio::post(io, [done, ec] { done(nullptr, ec); });
@@ -47,13 +48,13 @@
                               });
 }
 
-void LineConn::start(Handlers h) {
+void LineConnection::start(Handlers h) {
   h_ = std::move(h);
   started_ = true;
   wait_read();
 }
 
-void LineConn::wait_read() {
+void LineConnection::wait_read() {
   if (!open_ || reading_ || paused_) return;
   reading_ = true;
   socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](const asio::error_code& ec) {
@@ -64,7 +65,7 @@
   });
 }
 
-void LineConn::on_readable() {
+void LineConnection::on_readable() {
   static char chunk[constants::kReadChunkBytes];
   asio::error_code ec;
   std::size_t n = socket_.read_some(asio::buffer(chunk), ec);
@@ -89,7 +90,7 @@
 }
 
 // Hands on what is complete; false when the connection has ended meanwhile.
-bool LineConn::hand_on(std::string_view joined, std::size_t& from) {
+bool LineConnection::hand_on(std::string_view joined, std::size_t& from) {
   if (kind_ == Kind::kBytes) {
     from = joined.size();
     h_.on_line(joined);
@@ -118,14 +119,14 @@
   }
 }
 
-void LineConn::send_frame(std::string_view frame) {
+void LineConnection::send_frame(std::string_view frame) {
   char length[4];
   for (int i = 0; i < 4; ++i) length[i] = char(frame.size() >> (24 - 8 * i));
   send({length, 4});
   send(frame);
 }
 
-void LineConn::send(std::string_view bytes) {
+void LineConnection::send(std::string_view bytes) {
   if (!open_ || closing_) return;
   out_.append(bytes);
   if (writing_ || flush_posted_) return;
@@ -136,7 +137,7 @@
   });
 }
 
-void LineConn::flush() {
+void LineConnection::flush() {
   if (!open_ || writing_) return;
   if (out_.empty()) {
     if (closing_) close();
@@ -163,20 +164,20 @@
                     });
 }
 
-void LineConn::drained() {
+void LineConnection::drained() {
   auto self = shared_from_this();
   if (closing_) close();
   if (h_.on_drained) h_.on_drained();
 }
 
-void LineConn::end(End why) {
+void LineConnection::end(End why) {
   if (!open_) return;
   auto on_end = std::move(h_.on_end);
   close();
   if (on_end) on_end(why);
 }
 
-void LineConn::close() {
+void LineConnection::close() {
   if (!open_) return;
   open_ = false;
   asio::error_code ignored;
@@ -185,19 +186,19 @@
   asio::post(socket_.get_executor(), [self = shared_from_this()] { self->h_ = {}; });
 }
 
-void LineConn::close_after_flush() {
+void LineConnection::close_after_flush() {
   if (!open_) return;
   closing_ = true;
   if (!writing_ && !flush_posted_) flush();
 }
 
-void LineConn::pause(bool paused) {
+void LineConnection::pause(bool paused) {
   if (paused_ == paused) return;
   paused_ = paused;
   if (!paused_ && started_) wait_read();
 }
 
-std::string LineConn::peer_host() const {
+std::string LineConnection::peer_host() const {
   asio::error_code ec;
   auto e = socket_.remote_endpoint(ec);
   return ec ? std::string() : e.address().to_string();
--- a/src/keel/line_conn.h
+++ b/src/net/line_connection.h
@@ -6,13 +6,13 @@
 #include <memory>
 #include <string>
 
-#include "keel/settings.h"
+#include "settings/settings.h"
 
 namespace pebblespindle {
 
-class LineConn : public std::enable_shared_from_this<LineConn> {
+class LineConnection : public std::enable_shared_from_this<LineConnection> {
  public:
-  using Ptr = std::shared_ptr<LineConn>;
+  using Ptr = std::shared_ptr<LineConnection>;
   enum class End { kClosed, kReset, kTooLong };
   enum class Kind { kLines, kFrames, kBytes };
   struct Handlers {
@@ -22,7 +22,7 @@
     std::function<void()> on_drained = {};               // all that was sent is written; or it was the last
   };
 
-  LineConn(asio::ip::tcp::socket socket, std::size_t max_line, Kind kind = Kind::kLines);
+  LineConnection(asio::ip::tcp::socket socket, std::size_t max_line, Kind kind = Kind::kLines);
   static void connect(asio::io_context& io, const Endpoint& to, Millis timeout_ms, std::size_t max_line,
                       std::function<void(Ptr, const asio::error_code&)> done, Kind kind = Kind::kLines);
 
--- a/src/keel/timers.h
+++ b/src/net/timer_queue.h
@@ -4,11 +4,11 @@
 #include <map>
 #include <unordered_map>
 
-#include "keel/types.h"
+#include "base/types.h"
 
 namespace pebblespindle {
 
-class Timers {
+class TimerQueue {
  public:
   using Id = std::uint64_t;
   Id at(Millis when, std::function<void()> fn) {
--- a/src/berth/news.cc
+++ b/src/pooler/control_feed.cc
@@ -1,12 +1,12 @@
-#include "berth/news.h"
+#include "pooler/control_feed.h"
 
-#include "chain/fields.h"
-#include "keel/constants.h"
+#include "base/constants.h"
+#include "base/json_fields.h"
 
-namespace pebblespindle::berth {
+namespace pebblespindle::pooler {
 using namespace constants;
-using chain::field;
-using chain::number;
+using replication::field;
+using replication::number;
 
 bool News::hear(Millis now, std::string_view line) {
   Json m = Json::parse(line, nullptr, false);
@@ -26,7 +26,7 @@
     engine_.tight({field<std::string>(m, "id", "")});
   } else if (t == "paid") {
     core_ = field<std::string>(m, "from", "");
-    const auto sum = field<tally::Rights>(m, "sum", -1);
+    const auto sum = field<quota::Rights>(m, "sum", -1);
     if (sum <= kMostTold) engine_.paid(field<std::string>(m, "s", ""), core_, sum);
   } else if (t == "grant") {
     grant(now, m);
@@ -51,7 +51,7 @@
   if (!asked_here(now, at)) return;
   if (age < 0 || age > kObservationKeepMs)
     p.reset();  // it is told without one, or with none that could be used
-  engine_.sounded(field<std::string>(m, "s", ""), p ? at - age : at, p);
+  engine_.position_asked(field<std::string>(m, "s", ""), p ? at - age : at, p);
 }
 
-}  // namespace pebblespindle::berth
+}  // namespace pebblespindle::pooler
--- a/src/berth/engine.cc
+++ b/src/pooler/engine.cc
@@ -1,11 +1,11 @@
 // Sessions: what clients say, and what they are told.
-#include "berth/engine.h"
+#include "pooler/engine.h"
 
 #include <algorithm>
 
-namespace pebblespindle::berth {
+namespace pebblespindle::pooler {
 using namespace constants;
-using wire::Verb;
+using sql_protocol::Verb;
 
 Engine::Session* Engine::find(SessionId id) {
   auto it = sessions_.find(id);
@@ -26,17 +26,17 @@
   if (!s || s->closing) return;
   if (!s->greeted) {
     auto rest = line;
-    if (wire::take(rest) != "CONNECT") {
-      port_.to_client(id, wire::error("MALFORMED", "CONNECT comes first"));
+    if (sql_protocol::take(rest) != "CONNECT") {
+      port_.to_client(id, sql_protocol::error("MALFORMED", "CONNECT comes first"));
       return drop(id);
     }
-    s->host = std::string(wire::take(rest));
+    s->host = std::string(sql_protocol::take(rest));
     s->key = std::string(rest);
     if (sessions_.size() > std::size_t(kMaxSessions)) {
-      port_.to_client(id, wire::error("CONNLIMIT", "too many sessions here"));
+      port_.to_client(id, sql_protocol::error("CONNLIMIT", "too many sessions here"));
       return drop(id);
     }
-    if (chart_.fed() && lease_until_ > 0) return greet(id);
+    if (cluster_.fed() && lease_until_ > 0) return greet(id);
     // Just started: which databases there are is not known yet, or no primary may be asked.
     unfed_.push_back(id);
     s->greeted = s->busy = true;
@@ -44,9 +44,9 @@
       Session* x = find(id);
       if (!x) return;
       x->rest = 0;
-      if (chart_.fed()) return greet(id);
-      port_.to_client(id, wire::error("THROTTLED", "retry-after-ms=" + std::to_string(kFirstFeedMs) +
-                                                       " this node has just started"));
+      if (cluster_.fed()) return greet(id);
+      port_.to_client(id, sql_protocol::error("THROTTLED", "retry-after-ms=" + std::to_string(kFirstFeedMs) +
+                                                               " this node has just started"));
       drop(id);
     });
     return;
@@ -61,23 +61,24 @@
   if (!s) return;
   timers_.cancel(s->rest);
   std::erase(unfed_, id);  // once: a second greeting would be an answer to nothing
-  if (!chart_.route(s->host)) {
+  if (!cluster_.route(s->host)) {
     auto [code, text] = no_route(s->host);
-    port_.to_client(id, wire::error(code, text));
+    port_.to_client(id, sql_protocol::error(code, text));
     return drop(id);
   }
-  s->route = chart_.route(s->host);
+  s->route = cluster_.route(s->host);
   bool known = admit_key(*s);
   s->route = nullptr;
   if (!known) {
-    port_.to_client(id, leased() ? wire::error("DENIED", "the key is not known")
-                                 : wire::error("THROTTLED", "retry-after-ms=" + std::to_string(kNodeRenewMs) +
-                                                                " this node has no news"));
+    port_.to_client(
+        id, leased() ? sql_protocol::error("DENIED", "the key is not known")
+                     : sql_protocol::error("THROTTLED", "retry-after-ms=" + std::to_string(kNodeRenewMs) +
+                                                            " this node has no news"));
     return drop(id);
   }
   s->greeted = true;
   s->busy = false;
-  port_.to_client(id, wire::idle('I', "-"));
+  port_.to_client(id, sql_protocol::idle('I', "-"));
   pump(*s);
 }
 
@@ -85,8 +86,8 @@
 bool Engine::admit_key(Session& s) {
   s.tenant.clear();
   s.paid = false;
-  if (chart_.config().tenants.empty() || s.route->open_to_all) return true;
-  const Tenant* t = chart_.tenant_of(s.key);
+  if (cluster_.config().tenants.empty() || s.route->open_to_all) return true;
+  const Tenant* t = cluster_.tenant_of(s.key);
   if (t) s.tenant = t->name;
   return t != nullptr;
 }
@@ -100,7 +101,7 @@
 
 void Engine::client_too_long(SessionId id) {
   if (!find(id)) return;
-  port_.to_client(id, wire::error("TOOLARGE", "a message holds at most 1 MiB"));
+  port_.to_client(id, sql_protocol::error("TOOLARGE", "a message holds at most 1 MiB"));
   drop(id);
 }
 
@@ -157,11 +158,11 @@
 }
 
 void Engine::handle(Session& s, std::string_view line) {
-  auto word = wire::take(line);
+  auto word = sql_protocol::take(line);
   if (word == "CLOSE") return drop(s.id);
   if (word != "QUERY") return fail(s, "MALFORMED", "not a message of a session");
-  auto id = wire::take(line);
-  auto st = wire::parse_statement(line);
+  auto id = sql_protocol::take(line);
+  auto st = sql_protocol::parse_statement(line);
   if (id.empty() || st.verb == Verb::kBad) return fail(s, "MALFORMED", "not a statement");
   if (s.state == 'E') {
     if (st.verb == Verb::kRollback) {
@@ -170,14 +171,14 @@
     }
     if (st.verb == Verb::kCommit) {
       end_transaction(s, 'I');
-      return answer(s, wire::error("ABORTED", "the transaction had failed and is rolled back"));
+      return answer(s, sql_protocol::error("ABORTED", "the transaction had failed and is rolled back"));
     }
     return fail(s, "MALFORMED", "the transaction has failed; end it first");
   }
   switch (st.verb) {
     case Verb::kBegin: {
       if (s.state == 'T') return fail(s, "MALFORMED", "a transaction is open");
-      s.route = chart_.route(s.host);
+      s.route = cluster_.route(s.host);
       if (!s.route) return fail_unrouted(s);
       if (!admit_key(s)) return fail(s, "DENIED", "the key is not known");
       s.state = 'T';
@@ -201,7 +202,7 @@
   }
 }
 
-void Engine::local_statement(Session& s, const wire::Statement& st) {
+void Engine::local_statement(Session& s, const sql_protocol::Statement& st) {
   std::string name(st.name);
   bool room = s.values.size() + s.prepared.size() < kMaxSessionValues;
   auto value = s.values.find(name);
@@ -227,10 +228,10 @@
 }
 
 void Engine::answer(Session& s, std::string body) {
-  body += wire::idle(s.state, "-");
+  body += sql_protocol::idle(s.state, "-");
   timers_.cancel(s.rest);
   if (s.state != 'I') {
-    s.rest = timers_.at(now_ + chart_.config().limits.transaction_idle_ms, [this, id = s.id] {
+    s.rest = timers_.at(now_ + cluster_.config().limits.transaction_idle_ms, [this, id = s.id] {
       if (Session* x = find(id)) {
         x->rest = 0;
         lose_transaction(*x);
@@ -245,7 +246,7 @@
     // A failed statement fails its transaction; the database's side of it is rolled back at once.
     end_transaction(s, 'E');
   }
-  answer(s, wire::error(code, text));
+  answer(s, sql_protocol::error(code, text));
 }
 
 void Engine::fail_unrouted(Session& s) {
@@ -270,11 +271,12 @@
   s.tx_lost = true;
 }
 
-void Engine::begin_work(Session& s, std::string_view id, std::string_view text, const wire::Statement& st) {
+void Engine::begin_work(Session& s, std::string_view id, std::string_view text,
+                        const sql_protocol::Statement& st) {
   if (s.tx_lost) {
     bool commit = st.verb == Verb::kCommit;
     end_transaction(s, commit ? 'I' : 'E');
-    return answer(s, wire::error("ABORTED", "the transaction was ended and nothing of it is kept"));
+    return answer(s, sql_protocol::error("ABORTED", "the transaction was ended and nothing of it is kept"));
   }
   Work w;
   w.read = st.verb == Verb::kFetch;
@@ -286,7 +288,7 @@
     w.execute_rest = std::string(st.rest);
   }
   if (s.state == 'I') {
-    s.route = chart_.route(s.host);
+    s.route = cluster_.route(s.host);
     if (!s.route) return fail_unrouted(s);
     if (!admit_key(s)) return fail(s, "DENIED", "the key is not known");
     s.tx_touched = s.tx_wrote = false;
@@ -314,10 +316,10 @@
 // An operation is counted once, with its first statement that goes to a database.
 void Engine::pay(SessionId id) {
   Session& s = *find(id);
-  auto it = chart_.config().tenants.find(s.tenant);
-  bool limited = it != chart_.config().tenants.end() && (it->second.rate_per_s > 0 || it->second.burst > 0);
+  auto it = cluster_.config().tenants.find(s.tenant);
+  bool limited = it != cluster_.config().tenants.end() && (it->second.rate_per_s > 0 || it->second.burst > 0);
   if (s.paid || !limited) return attempt(id);
-  auto r = purse_.take(now_, s.tenant);
+  auto r = quota_client_.take(now_, s.tenant);
   if (r.want > 0) port_.pay(s.tenant, r.want);
   if (r.paid) {
     s.paid = true;
@@ -334,8 +336,8 @@
   });
 }
 
-void Engine::paid(const std::string& tenant, const tally::Holder& from, tally::Rights sum) {
-  purse_.paid(now_, tenant, from, sum);
+void Engine::paid(const std::string& tenant, const quota::Holder& from, quota::Rights sum) {
+  quota_client_.paid(now_, tenant, from, sum);
   auto waiting = std::exchange(unpaid_[tenant], {});
   unpaid_.erase(tenant);
   for (auto id : waiting) {
@@ -356,7 +358,7 @@
   if (!w.queued_at.empty()) std::erase(pools_[w.queued_at].waiting, s.id);
   if (!w.held_for.empty()) std::erase(held_[w.held_for], s.id);
   if (!w.unpaid.empty()) std::erase(unpaid_[w.unpaid], s.id);
-  if (!w.sounding.empty()) std::erase(sounding_[w.sounding], s.id);
+  if (!w.position_of.empty()) std::erase(waiting_for_position_[w.position_of], s.id);
   s.work = Work{};
   s.busy = false;
 }
@@ -384,4 +386,4 @@
   for (auto id : open) drop(id);
 }
 
-}  // namespace pebblespindle::berth
+}  // namespace pebblespindle::pooler
--- a/src/berth/engine.h
+++ b/src/pooler/engine.h
@@ -1,19 +1,19 @@
-// The berth's engine: sessions, pooled server connections, routing. No I/O: sockets are a Port,
+// The pooler's engine: sessions, pooled server connections, routing. No I/O: sockets are a Port,
 // time and timers are handed in.
 #pragma once
 #include <deque>
 #include <list>
 #include <unordered_map>
 
-#include "berth/freshness.h"
-#include "berth/lvector.h"
-#include "berth/pace.h"
-#include "berth/purse.h"
-#include "keel/timers.h"
-#include "ordinance/chart.h"
-#include "wire/wire.h"
+#include "config/cluster_state.h"
+#include "net/timer_queue.h"
+#include "pooler/freshness.h"
+#include "pooler/latency_tracker.h"
+#include "pooler/lvector.h"
+#include "quota/quota_client.h"
+#include "sql_protocol/sql_protocol.h"
 
-namespace pebblespindle::berth {
+namespace pebblespindle::pooler {
 
 using SessionId = std::uint64_t;
 using ConnId = std::uint64_t;
@@ -31,7 +31,7 @@
   virtual void suspect(const InstanceId&, Trouble) = 0;
   virtual void sound(const std::string& service) = 0;  // asks the core for a position of its primary
   // Asks the core for rights to run operations of a tenant.
-  virtual void pay(const std::string& tenant, tally::Rights want) = 0;
+  virtual void pay(const std::string& tenant, quota::Rights want) = 0;
   virtual void full(const InstanceId&) = 0;     // it takes no more connections
   virtual void slow(const InstanceId&) = 0;     // a primary answers, but far too slowly
   virtual void cleared(const InstanceId&) = 0;  // it answers after all
@@ -40,7 +40,7 @@
 class Engine {
  public:
   // lot: drawn at random; nodes of different lots keep connections to different databases where they are few.
-  Engine(Port& port, Timers& timers, std::string zone, Millis drain_ms, std::uint64_t lot)
+  Engine(Port& port, TimerQueue& timers, std::string zone, Millis drain_ms, std::uint64_t lot)
       : port_(port), timers_(timers), zone_(std::move(zone)), drain_ms_(drain_ms), lot_(lot) {}
 
   // Each call carries the time; timers call back with the time they were set for or later.
@@ -59,7 +59,7 @@
 
   // whole: the rows are all there are, and replace what is held.
   void feed(std::uint64_t number, std::vector<Row> rows, bool whole = false);
-  // The lease runs until `until` and holds only for a chart at least at `number`.
+  // The lease runs until `until` and holds only for a cluster at least at `number`.
   void lease(Millis until, std::uint64_t number, std::size_t members);
 
   // A database has turned connections away somewhere: fewer are kept to it for a while.
@@ -74,16 +74,16 @@
     core_life_ = life;
     core_ahead_ = core_time - (now_ + 1);
   }
-  // Positions of primaries met since the last call, for the core (roster/soundings.h); null when there are
-  // none.
-  Json take_soundings();
+  // Positions of primaries met since the last call, for the core (node_leases/positions.h); null when there
+  // are none.
+  Json take_positions();
   // The core's answer to Port::sound: asked for at `asked` or later by this node's clock; none when it knows
   // none.
-  void sounded(const std::string& service, Millis asked, std::optional<Position> position);
+  void position_asked(const std::string& service, Millis asked, std::optional<Position> position);
   // The core's answer to Port::pay.
-  void paid(const std::string& tenant, const tally::Holder& from, tally::Rights sum);
-  tally::Rights known(const std::string& tenant, const tally::Holder& core) const {
-    return purse_.known(tenant, core);
+  void paid(const std::string& tenant, const quota::Holder& from, quota::Rights sum);
+  quota::Rights known(const std::string& tenant, const quota::Holder& core) const {
+    return quota_client_.known(tenant, core);
   }
   // Closes pooled connections that have been idle for too long, and without a lease the sessions that rest.
   void shed_idle();
@@ -99,7 +99,7 @@
   void close_idle();  // sessions that rest end now, the others when they are done
   void abort_open();  // open transactions end now
   std::size_t sessions() const { return sessions_.size(); }
-  const Chart& chart() const { return chart_; }
+  const ClusterState& cluster() const { return cluster_; }
 
  private:
   struct Prepared {
@@ -110,7 +110,7 @@
   struct Work {
     bool active = false;
     std::string id, text;
-    wire::Verb verb = wire::Verb::kBad;
+    sql_protocol::Verb verb = sql_protocol::Verb::kBad;
     bool read = false;
     std::string prepared_key;  // kind and shape of an EXECUTE
     std::string execute_rest;
@@ -122,12 +122,12 @@
     Position require;      // WAITFOR of this try
     bool by_lead = false;  // this try goes to the primary as such, by the lease
     bool warned = false;   // its patience has run out once
-    Timers::Id timer = 0, patience = 0, wait = 0;
-    InstanceId queued_at;  // waits for a connection to it
-    std::string held_for;  // waits for the lead of this service
-    std::string sounding;  // waits for a position of this service's primary
-    std::string unpaid;    // waits for rights of this tenant
-    bool sounded = false;  // has waited for one
+    TimerQueue::Id timer = 0, patience = 0, wait = 0;
+    InstanceId queued_at;         // waits for a connection to it
+    std::string held_for;         // waits for the lead of this service
+    std::string position_of;      // waits for a position of this service's primary
+    std::string unpaid;           // waits for rights of this tenant
+    bool position_asked = false;  // has waited for one
   };
   struct Session {
     SessionId id = 0;
@@ -149,7 +149,7 @@
     bool tx_wrote = false;    // a write of it may have run
     bool tx_lost = false;
     ConnId conn = 0;
-    Timers::Id rest = 0;
+    TimerQueue::Id rest = 0;
     Work work;
   };
   struct Server {
@@ -170,7 +170,7 @@
     bool completed = false;
     bool answered = false;  // an answer has ended in the read that is under way
     Millis idle_since = 0, opened = 0, asked = 0;
-    Timers::Id timer = 0;
+    TimerQueue::Id timer = 0;
   };
   struct Pool {
     std::vector<ConnId> idle;
@@ -188,7 +188,7 @@
       Millis at = 0;
     };
     std::map<std::string, Latency> latency;  // by route
-    Pace pace;                               // of statements on primary routes
+    LatencyTracker pace;                     // of statements on primary routes
     struct {
       int asked = 0, bad = 0;
       Millis ms = 0;
@@ -215,8 +215,8 @@
   void fail(Session& s, std::string_view code, std::string_view text);
   void fail_unrouted(Session& s);
   std::pair<std::string, std::string> no_route(const std::string& host) const;
-  void local_statement(Session& s, const wire::Statement& st);
-  void begin_work(Session& s, std::string_view id, std::string_view text, const wire::Statement& st);
+  void local_statement(Session& s, const sql_protocol::Statement& st);
+  void begin_work(Session& s, std::string_view id, std::string_view text, const sql_protocol::Statement& st);
   void end_work(Session& s);
   void end_transaction(Session& s, char state);
   void drop(SessionId id);
@@ -226,7 +226,7 @@
   void pay(SessionId id);
 
   // routing
-  bool leased() const { return now_ < lease_until_ && chart_.number() >= lease_number_; }
+  bool leased() const { return now_ < lease_until_ && cluster_.number() >= lease_number_; }
   bool usable(const Instance& i) const;
   Choice choose(Session& s);
   Choice choose_primary(const std::string& service);
@@ -234,7 +234,7 @@
   void attempt(SessionId id);
   void hold(Session& s, const std::string& service);
   void release_held(const std::string& service);
-  bool worth_sounding(const std::string& service, const Choice& primary) const;
+  bool worth_asking_position(const std::string& service, const Choice& primary) const;
   void sound(Session& s, const std::string& service);
   void refuse(Session& s, const std::string& code, const std::string& why);
   bool cut_off(const std::string& service) const;
@@ -264,10 +264,10 @@
   void dispatch(Session& s, Server& c);
   void next_step(Server& c);
   bool hear_answer(Server& c, std::string_view word, std::string_view line, std::string_view rest);
-  bool step_done(Server& c, const wire::Idle& idle);
+  bool step_done(Server& c, const sql_protocol::Idle& idle);
   bool fits(const Server& c, char state) const;
   void setup_failed(Server& c, char state);
-  void statement_done(Server& c, const wire::Idle& idle);
+  void statement_done(Server& c, const sql_protocol::Idle& idle);
   void work_lost(Session& s, bool sent);
   void met(const InstanceId& id, bool good, Millis took);
   void on_patience(SessionId id);
@@ -277,12 +277,12 @@
   Server* server(ConnId id);
 
   Port& port_;
-  Timers& timers_;
+  TimerQueue& timers_;
   std::string zone_;
   Millis drain_ms_;
   std::uint64_t lot_;
   Millis now_ = 0;
-  Chart chart_;
+  ClusterState cluster_;
   Millis lease_until_ = 0;
   std::uint64_t lease_number_ = 0;
   std::size_t members_ = 1;
@@ -290,16 +290,16 @@
   std::unordered_map<SessionId, Session> sessions_;
   std::unordered_map<ConnId, Server> servers_;
   std::map<InstanceId, Pool> pools_;
-  Purse purse_;
-  std::map<std::string, std::deque<SessionId>> unpaid_;    // by tenant
-  std::map<std::string, Freshness> fresh_;                 // by service
-  std::map<std::string, std::deque<SessionId>> held_;      // by service
-  std::map<std::string, std::deque<SessionId>> sounding_;  // by service
-  struct Sounding {
+  QuotaClient quota_client_;
+  std::map<std::string, std::deque<SessionId>> unpaid_;                // by tenant
+  std::map<std::string, Freshness> fresh_;                             // by service
+  std::map<std::string, std::deque<SessionId>> held_;                  // by service
+  std::map<std::string, std::deque<SessionId>> waiting_for_position_;  // by service
+  struct MetPosition {
     Millis asked = 0;
     Position position;
   };
-  std::map<std::string, Sounding> soundings_;  // by service: met since the core was told
+  std::map<std::string, MetPosition> met_positions_;  // by service: met since the core was told
   std::uint64_t core_life_ = 0;
   Millis core_ahead_ = 0;  // the core's clock less this one's, at least
   std::map<std::string, Millis> suspended_since_;
@@ -314,4 +314,4 @@
   std::uint64_t suspended_number_ = 0;
 };
 
-}  // namespace pebblespindle::berth
+}  // namespace pebblespindle::pooler
--- a/src/berth/engine_sight.cc
+++ b/src/pooler/engine_health.cc
@@ -2,9 +2,9 @@
 // fails more than its peers, and the core is told what is out of the ordinary.
 #include <algorithm>
 
-#include "berth/engine.h"
+#include "pooler/engine.h"
 
-namespace pebblespindle::berth {
+namespace pebblespindle::pooler {
 using namespace constants;
 
 void Engine::met(const InstanceId& id, bool good, Millis took) {
@@ -25,13 +25,13 @@
 // Where this node asks a service too seldom to know how far its primary stands, others of its core know:
 // worth a question when a replica at home could serve the read instead of a primary elsewhere, or any replica
 // instead of a primary that is gone or has more callers than places.
-bool Engine::worth_sounding(const std::string& service, const Choice& primary) const {
+bool Engine::worth_asking_position(const std::string& service, const Choice& primary) const {
   if (core_life_ == 0) return false;
-  const Lead* lead = chart_.lead(service);
+  const Lead* lead = cluster_.lead(service);
   auto p = lead ? pools_.find(lead->primary) : pools_.end();
   bool any = primary.kind != Choice::Kind::kGo || (p != pools_.end() && now_ < p->second.tight_until);
   bool near = false;
-  for (auto* i : chart_.of(service)) {
+  for (auto* i : cluster_.of(service)) {
     if (!usable(*i) || i->draining) continue;
     bool leads = lead && lead->primary == i->id;
     if (leads && i->zone == zone_ && primary.kind == Choice::Kind::kGo) return false;
@@ -41,36 +41,36 @@
 }
 
 void Engine::sound(Session& s, const std::string& service) {
-  s.work.sounded = true;
-  s.work.sounding = service;
-  auto& q = sounding_[service];
+  s.work.position_asked = true;
+  s.work.position_of = service;
+  auto& q = waiting_for_position_[service];
   q.push_back(s.id);
   timers_.cancel(s.work.wait);
   s.work.wait = timers_.at(std::min(now_ + kSoundMs, s.work.deadline), [this, service, id = s.id] {
     Session* x = find(id);
     if (!x) return;
     x->work.wait = 0;
-    x->work.sounding.clear();
-    std::erase(sounding_[service], id);
+    x->work.position_of.clear();
+    std::erase(waiting_for_position_[service], id);
     attempt(id);
   });
   if (q.size() == 1) port_.sound(service);
 }
 
-void Engine::sounded(const std::string& service, Millis asked, std::optional<Position> position) {
+void Engine::position_asked(const std::string& service, Millis asked, std::optional<Position> position) {
   if (position) fresh_[service].observe(asked, *position);
-  auto q = std::exchange(sounding_[service], {});
-  sounding_.erase(service);
+  auto q = std::exchange(waiting_for_position_[service], {});
+  waiting_for_position_.erase(service);
   for (auto id : q)
     if (Session* s = find(id)) {
-      s->work.sounding.clear();
+      s->work.position_of.clear();
       timers_.cancel(s->work.wait);
     }
   for (auto id : q) attempt(id);
 }
 
-Json Engine::take_soundings() {
-  auto met = std::exchange(soundings_, {});
+Json Engine::take_positions() {
+  auto met = std::exchange(met_positions_, {});
   if (met.empty() || core_life_ == 0) return {};
   Json p = Json::array();
   for (auto& [service, s] : met)
@@ -86,10 +86,10 @@
                                                                    : p->second.seen.ms / p->second.seen.asked;
   };
   for (auto& [id, p] : pools_) {
-    const Instance* i = chart_.instance(id);
+    const Instance* i = cluster_.instance(id);
     if (!i) continue;
     Millis best = -1, mine = mean(id);
-    for (auto* peer : chart_.of(i->service))
+    for (auto* peer : cluster_.of(i->service))
       if (Millis m = mean(peer->id); m >= 0 && (best < 0 || m < best)) best = m;
     bool slow = mine >= 0 && double(mine) > double(best) * kLatencyAvoidFactor + kLatencyAvoidMs;
     // Where traffic is thin each node meets little: the core puts it together before it judges.
@@ -106,4 +106,4 @@
   return {{"t", "sight"}, {"d", databases}, {"r", routes}};
 }
 
-}  // namespace pebblespindle::berth
+}  // namespace pebblespindle::pooler
--- a/src/berth/engine_route.cc
+++ b/src/pooler/engine_routing.cc
@@ -1,25 +1,25 @@
 // Routing: which database may run a statement, when to wait, when to refuse; and the pools.
 #include <algorithm>
 
-#include "berth/engine.h"
+#include "pooler/engine.h"
 
-namespace pebblespindle::berth {
+namespace pebblespindle::pooler {
 using namespace constants;
-using wire::Verb;
+using sql_protocol::Verb;
 
 // --- the control state ---------------------------------------------------------
 
 void Engine::feed(std::uint64_t number, std::vector<Row> rows, bool whole) {
-  if (whole) rows = chart_.changes_to(number, std::move(rows));
+  if (whole) rows = cluster_.changes_to(number, std::move(rows));
   auto leads_before = std::map<std::string, Lead>();
-  for (auto& [name, spec] : chart_.config().services)
-    if (auto* l = chart_.lead(name)) leads_before[name] = *l;
-  std::uint64_t before = chart_.number();
-  if (!chart_.apply(number, rows)) return;
+  for (auto& [name, spec] : cluster_.config().services)
+    if (auto* l = cluster_.lead(name)) leads_before[name] = *l;
+  std::uint64_t before = cluster_.number();
+  if (!cluster_.apply(number, rows)) return;
   for (auto& r : rows) {
     if (r.key.starts_with("i/")) {
       InstanceId id{r.key.substr(2)};
-      const Instance* i = chart_.instance(id);
+      const Instance* i = cluster_.instance(id);
       auto p = pools_.find(id);
       if (i && i->draining) {
         if (pools_[id].drain_since < 0) pools_[id].drain_since = now_;
@@ -30,7 +30,7 @@
       }
     } else if (r.key.starts_with("s/")) {
       std::string service = r.key.substr(2);
-      const Lead* l = chart_.lead(service);
+      const Lead* l = cluster_.lead(service);
       if (!l) continue;
       if (!l->hold) {
         suspended_since_.erase(service);
@@ -72,12 +72,12 @@
 std::uint64_t Engine::acknowledged() const {
   for (auto& [service, since] : suspended_since_) {
     if (since < 0) continue;
-    const Lead* l = chart_.lead(service);
+    const Lead* l = cluster_.lead(service);
     if (!l) continue;
     for (auto& [id, c] : servers_)
       if (c.instance == l->primary && c.session != 0) return suspended_number_;
   }
-  return chart_.number();
+  return cluster_.number();
 }
 
 void Engine::lease(Millis until, std::uint64_t number, std::size_t members) {
@@ -86,7 +86,7 @@
   lease_number_ = number;
   members_ = std::max<std::size_t>(1, members);
   sent_away_ = false;
-  if (chart_.fed())
+  if (cluster_.fed())
     for (auto id : std::exchange(unfed_, {})) greet(id);
   if (had || !leased()) return;
   std::vector<std::string> services;
@@ -106,9 +106,9 @@
 Engine::Choice Engine::choose_primary(const std::string& service) {
   Choice c;
   c.kind = Choice::Kind::kHold;
-  const Lead* l = chart_.lead(service);
+  const Lead* l = cluster_.lead(service);
   if (!l || l->hold || !leased()) return c;
-  const Instance* i = chart_.instance(l->primary);
+  const Instance* i = cluster_.instance(l->primary);
   if (!i || !usable(*i)) return c;
   c.kind = Choice::Kind::kGo;
   c.instance = l->primary;
@@ -130,7 +130,7 @@
 // Whether a commit of this database may be passed on as kept: not once its suspension is acknowledged from
 // here, for from then on another may be promoted without it.
 bool Engine::leads(const std::string& service, const InstanceId& id) const {
-  const Lead* l = chart_.lead(service);
+  const Lead* l = cluster_.lead(service);
   if (!l || l->primary != id) return false;
   auto s = suspended_since_.find(service);
   return !l->hold || (s != suspended_since_.end() && s->second >= 0);
@@ -145,8 +145,8 @@
 }
 
 void Engine::take_pace() {
-  for (auto& [name, spec] : chart_.config().services) {
-    const Lead* l = chart_.lead(name);
+  for (auto& [name, spec] : cluster_.config().services) {
+    const Lead* l = cluster_.lead(name);
     auto p = l ? pools_.find(l->primary) : pools_.end();
     if (p != pools_.end() && p->second.pace.close_window() && !l->hold) port_.slow(l->primary);
   }
@@ -163,7 +163,7 @@
   }
   Choice primary = choose_primary(route.service);
   auto bound = fresh_[route.service].bound(now_, route.stale_ms);
-  if (!bound && !s.work.sounded && worth_sounding(route.service, primary)) {
+  if (!bound && !s.work.position_asked && worth_asking_position(route.service, primary)) {
     Choice sound;
     sound.kind = Choice::Kind::kSound;
     return sound;
@@ -175,20 +175,20 @@
       // A session starts with the node's vector: that of the replica at home, else none.
       s.vector = LVector();
       s.vector_service = route.service;
-      for (auto* i : chart_.of(route.service))
+      for (auto* i : cluster_.of(route.service))
         if (i->zone == zone_ && pools_.count(i->id)) s.vector = pools_[i->id].vector;
     }
     require = std::max(require, s.vector.newest());
   }
-  const Lead* lead = chart_.lead(route.service);
+  const Lead* lead = cluster_.lead(route.service);
   double quickest = 0;
-  for (auto* i : chart_.of(route.service)) {
+  for (auto* i : cluster_.of(route.service)) {
     double ms = usable(*i) ? latency(i->id, route.name) : 0;
     if (ms > 0 && (quickest == 0 || ms < quickest)) quickest = ms;
   }
   const Instance* best = nullptr;
   long best_cost = 0;
-  for (auto* instance : chart_.of(route.service)) {
+  for (auto* instance : cluster_.of(route.service)) {
     const Instance& i = *instance;
     const InstanceId& id = i.id;
     if (!usable(i)) continue;
@@ -279,23 +279,23 @@
 // does not answer here.
 bool Engine::cut_off(const std::string& service) const {
   if (lease_until_ > 0 && !leased() && now_ >= lease_until_) return true;
-  const Lead* l = chart_.lead(service);
+  const Lead* l = cluster_.lead(service);
   auto p = l && !l->hold ? pools_.find(l->primary) : pools_.end();
   return p != pools_.end() && p->second.closed_off && now_ >= p->second.closed_since + kCutOffMs;
 }
 
 bool Engine::ready() const {
-  return chart_.fed() && !leaving_ && (lease_until_ == 0 || now_ < lease_until_ + kUnleasedReadyMs);
+  return cluster_.fed() && !leaving_ && (lease_until_ == 0 || now_ < lease_until_ + kUnleasedReadyMs);
 }
 
 // --- pools ----------------------------------------------------------------------------
 
 // How many connections to a database fall to each node; below one, not all nodes can keep one.
 double Engine::fair_share(const InstanceId& id) const {
-  const Instance* i = chart_.instance(id);
+  const Instance* i = cluster_.instance(id);
   if (!i) return 0;
-  auto it = chart_.config().services.find(i->service);
-  int cap = it == chart_.config().services.end() ? 16 : it->second.max_connections;
+  auto it = cluster_.config().services.find(i->service);
+  int cap = it == cluster_.config().services.end() ? 16 : it->second.max_connections;
   return double(std::max(1, cap - kConnReservePerDatabase)) / double(members_);
 }
 
@@ -320,7 +320,7 @@
 }
 
 void Engine::shed_idle() {
-  if (!sent_away_ && chart_.fed() && !leaving_ && !ready()) {
+  if (!sent_away_ && cluster_.fed() && !leaving_ && !ready()) {
     sent_away_ = true;  // once in each time without a lease
     close_resting();
   }
@@ -336,7 +336,7 @@
 
 // Towards a database a connection is a tenant's: it serves no other.
 const std::string& Engine::who(const Session& s) {
-  static const std::string nobody = "berth";
+  static const std::string nobody = "pooler";
   return s.tenant.empty() ? nobody : s.tenant;
 }
 
@@ -390,12 +390,12 @@
 }
 
 void Engine::open(const InstanceId& id) {
-  const Instance* i = chart_.instance(id);
+  const Instance* i = cluster_.instance(id);
   if (!i) return;
   Pool& p = pools_[id];
   Server c;
   const Session* first = p.opening < p.waiting.size() ? find(p.waiting[p.opening]) : nullptr;
-  c.who = first ? who(*first) : "berth";
+  c.who = first ? who(*first) : "pooler";
   c.id = ++last_conn_;
   c.instance = id;
   c.service = i->service;
@@ -452,7 +452,7 @@
   Pool& p = pools_[c.instance];
   InstanceId id = c.instance;
   bool surplus = p.waiting.empty() && fair_share(id) < kScarceShare && (!p.idle.empty() || keep(id, p) == 0);
-  if (!chart_.instance(id) || p.total > share(id) || surplus) return drop_server(c.id, true);
+  if (!cluster_.instance(id) || p.total > share(id) || surplus) return drop_server(c.id, true);
   p.idle.push_back(c.id);
   hand_out(id);
 }
@@ -544,7 +544,7 @@
 
 void Engine::try_again(const InstanceId& id) {
   Pool& p = pools_[id];
-  if (!p.closed_off || !chart_.instance(id)) return;
+  if (!p.closed_off || !cluster_.instance(id)) return;
   open(id);
 }
 
@@ -553,7 +553,7 @@
   p.closed_off = false;
   p.trial_pause = 0;
   p.silent = 0;
-  if (const Instance* i = chart_.instance(id)) release_held(i->service);
+  if (const Instance* i = cluster_.instance(id)) release_held(i->service);
 }
 
-}  // namespace pebblespindle::berth
+}  // namespace pebblespindle::pooler
--- a/src/berth/engine_exec.cc
+++ b/src/pooler/engine_statements.cc
@@ -1,11 +1,11 @@
 // Execution: statements on server connections, their answers, and what follows when none comes.
 #include <algorithm>
 
-#include "berth/engine.h"
+#include "pooler/engine.h"
 
-namespace pebblespindle::berth {
+namespace pebblespindle::pooler {
 using namespace constants;
-using wire::Verb;
+using sql_protocol::Verb;
 
 namespace {
 
@@ -84,11 +84,11 @@
     c.stage = Server::Stage::kCleanup;
     timers_.cancel(c.timer);
     c.timer = timers_.at(now_ + kServerConnectMs, [this, id = c.id] { server_down(id, false, false); });
-    return port_.to_server(c.id, wire::query("-", "ROLLBACK"));
+    return port_.to_server(c.id, sql_protocol::query("-", "ROLLBACK"));
   }
   if (!c.script.empty()) {
     c.stage = Server::Stage::kSetup;
-    return port_.to_server(c.id, wire::query("-", c.script.front()));
+    return port_.to_server(c.id, sql_protocol::query("-", c.script.front()));
   }
   Work& w = s->work;
   if (w.by_lead && !(s->state == 'T' && s->tx_touched) && !(leased() && leads(c.service, c.instance))) {
@@ -106,17 +106,17 @@
   if (s->state != 'T' && w.read && !w.require.none()) text = "WAITFOR " + w.require.text() + " " + text;
   w.sent = true;
   w.sent_at = now_;
-  const Lead* l = chart_.lead(c.service);
+  const Lead* l = cluster_.lead(c.service);
   c.observing = leased() && l && !l->hold && l->primary == c.instance;
   if (!w.read && w.verb != Verb::kCommit) s->tx_wrote = true;
-  port_.to_server(c.id, wire::query(w.id, text));
+  port_.to_server(c.id, sql_protocol::query(w.id, text));
 }
 
 void Engine::server_line(ConnId id, std::string_view line) {
   Server* c = server(id);
   if (!c) return;
   auto rest = line;
-  auto word = wire::take(rest);
+  auto word = sql_protocol::take(rest);
   Pool& p = pools_[c->instance];
   p.last_answer = now_;
   if (p.suspected) {
@@ -125,7 +125,7 @@
   }
   if (!c->greeted) {
     InstanceId instance = c->instance;
-    auto ready = word == "IDLE" ? wire::parse_idle(rest) : std::nullopt;
+    auto ready = word == "IDLE" ? sql_protocol::parse_idle(rest) : std::nullopt;
     if (ready && ready->state == 'I') {
       c->greeted = c->answered = true;
       timers_.cancel(c->timer);
@@ -139,7 +139,7 @@
       if (ready->position) p.vector.raise(*ready->position);
       return give_back(*c);
     }
-    auto code = wire::take(rest);
+    auto code = sql_protocol::take(rest);
     if (word == "STMTERR" && code == "CONNLIMIT")
       limit(instance);
     else
@@ -172,11 +172,11 @@
   }
   if (word == "STMTERR") {
     if (decided) return false;
-    c.error_code = std::string(wire::take(rest));
+    c.error_code = std::string(sql_protocol::take(rest));
     c.error_text = std::string(rest);
     return !c.error_code.empty();
   }
-  auto idle = word == "IDLE" ? wire::parse_idle(rest) : std::nullopt;
+  auto idle = word == "IDLE" ? sql_protocol::parse_idle(rest) : std::nullopt;
   if (!idle || !decided) return false;
   c.answered = true;  // what stands behind it in the same read was written before anything else was asked
   return step_done(c, *idle);
@@ -187,7 +187,7 @@
 }
 
 // False: the answer does not fit what was asked.
-bool Engine::step_done(Server& c, const wire::Idle& idle) {
+bool Engine::step_done(Server& c, const sql_protocol::Idle& idle) {
   const bool was_in_tx = c.in_tx;
   if (!fits(c, idle.state)) return false;
   Pool& p = pools_[c.instance];
@@ -211,7 +211,7 @@
   }
   std::string text = std::move(c.script.front());
   c.script.pop_front();
-  auto st = wire::parse_statement(text);
+  auto st = sql_protocol::parse_statement(text);
   if (st.verb == Verb::kConfigure) {
     c.values[std::string(st.name)] = std::string(st.rest);
     if (c.in_tx) c.tx_configured = true;
@@ -261,7 +261,7 @@
   work_lost(*s, false);
 }
 
-void Engine::statement_done(Server& c, const wire::Idle& idle) {
+void Engine::statement_done(Server& c, const sql_protocol::Idle& idle) {
   Pool& p = pools_[c.instance];
   Session* s = find(c.session);
   if (!s) {
@@ -285,7 +285,7 @@
   if (idle.position) {
     if (c.observing) {
       fresh_[c.service].observe(w.sent_at, *idle.position);
-      soundings_[c.service] = {w.sent_at, *idle.position};
+      met_positions_[c.service] = {w.sent_at, *idle.position};
     }
     if (c.error_code.empty()) {  // a result: replaced by the executing database's, as the paper has it
       s->vector = LVector(*idle.position);
@@ -324,7 +324,7 @@
     s->tx_touched = true;
   } else {
     if (code == "LAGGING") p.lagging_until = now_ + kLaggingAvoidMs;
-    body = wire::error(code, text);
+    body = sql_protocol::error(code, text);
   }
   char state = tx ? idle.state : 'I';
   if (!code.empty() && state == 'T') state = 'E';  // whatever went wrong in it, nothing of it will be kept
@@ -346,7 +346,7 @@
   }
   answer(*s, std::move(body));
   if (state == 'T') {
-    const Lead* l = chart_.lead(c.service);
+    const Lead* l = cluster_.lead(c.service);
     if (l && l->hold && suspended_since_.count(c.service) && suspended_since_[c.service] < 0 &&
         l->primary == c.instance)
       lose_transaction(*s);
@@ -377,10 +377,10 @@
   if (unsure) {
     s.state = 'I';
     s.route = nullptr;
-    answer(s, wire::error("UNKNOWN", "the database gave no answer; the write may be kept or not"));
+    answer(s, sql_protocol::error("UNKNOWN", "the database gave no answer; the write may be kept or not"));
   } else if (tx) {
     end_transaction(s, verb == Verb::kCommit ? 'I' : 'E');
-    answer(s, wire::error("ABORTED", "the database was lost and nothing of the transaction is kept"));
+    answer(s, sql_protocol::error("ABORTED", "the database was lost and nothing of the transaction is kept"));
   } else {
     fail(s, "THROTTLED",
          "retry-after-ms=" + std::to_string(s.route ? s.route->target_ms / 2 : 50) +
@@ -435,7 +435,7 @@
   c->session = 0;
   drop_server(conn, false);
   if (silent) close_off(instance);
-  const Lead* l = chart_.lead(s->route->service);
+  const Lead* l = cluster_.lead(s->route->service);
   if (!l || l->primary != instance) w.tried.push_back(instance);
   attempt(id);
 }
@@ -459,4 +459,4 @@
   work_lost(*s, true);
 }
 
-}  // namespace pebblespindle::berth
+}  // namespace pebblespindle::pooler
--- a/src/berth/freshness.h
+++ b/src/pooler/freshness.h
@@ -2,10 +2,10 @@
 #pragma once
 #include <deque>
 
-#include "keel/constants.h"
-#include "keel/types.h"
+#include "base/constants.h"
+#include "base/types.h"
 
-namespace pebblespindle::berth {
+namespace pebblespindle::pooler {
 
 class Freshness {
  public:
@@ -33,4 +33,4 @@
   std::deque<Observation> seen_;
 };
 
-}  // namespace pebblespindle::berth
+}  // namespace pebblespindle::pooler
--- a/src/berth/pace.h
+++ b/src/pooler/latency_tracker.h
@@ -3,12 +3,12 @@
 #include <algorithm>
 #include <vector>
 
-#include "keel/constants.h"
-#include "keel/types.h"
+#include "base/constants.h"
+#include "base/types.h"
 
-namespace pebblespindle::berth {
+namespace pebblespindle::pooler {
 
-class Pace {
+class LatencyTracker {
  public:
   void answered(Millis took) { took_.push_back(took); }
 
@@ -39,4 +39,4 @@
   double usual_ = 0, usual_answers_ = 0;
 };
 
-}  // namespace pebblespindle::berth
+}  // namespace pebblespindle::pooler
--- a/src/berth/lvector.h
+++ b/src/pooler/lvector.h
@@ -4,9 +4,9 @@
 // A log that stands at TERM.NUMBER has fixed what every earlier term left in it, so all entries below
 // the newest follow from the newest: it alone is kept, and comparing it is the lexicographic order.
 #pragma once
-#include "keel/types.h"
+#include "base/types.h"
 
-namespace pebblespindle::berth {
+namespace pebblespindle::pooler {
 
 class LVector {
  public:
@@ -23,4 +23,4 @@
   Position newest_;
 };
 
-}  // namespace pebblespindle::berth
+}  // namespace pebblespindle::pooler
--- a/src/berth/berth.cc
+++ b/src/pooler/pooler.cc
@@ -1,29 +1,29 @@
-// The proxy's process: joins the engine to sockets, to the tender's feed, and to the ready probe.
+// The proxy's process: joins the engine to sockets, to the agent's feed, and to the ready probe.
 #include <csignal>
 #include <random>
 #include <set>
 
-#include "berth/engine.h"
-#include "berth/news.h"
-#include "keel/constants.h"
-#include "keel/feed_link.h"
-#include "keel/http.h"
-#include "keel/line_conn.h"
-#include "keel/log.h"
-#include "keel/loop.h"
-#include "keel/registry.h"
-#include "keel/role.h"
+#include "base/constants.h"
+#include "base/log.h"
+#include "cli/command_registry.h"
+#include "net/event_loop.h"
+#include "net/http.h"
+#include "net/line_connection.h"
+#include "pooler/control_feed.h"
+#include "pooler/engine.h"
+#include "proxy/agent_link.h"
+#include "settings/run_role.h"
 
 namespace pebblespindle {
 namespace {
 
 using namespace constants;
-using berth::ConnId;
-using berth::SessionId;
+using pooler::ConnId;
+using pooler::SessionId;
 
-class Berth : public berth::Port {
+class Pooler : public pooler::Port {
  public:
-  explicit Berth(Settings s)
+  explicit Pooler(Settings s)
       : settings_(std::move(s)),
         engine_(*this, loop_.timers(), settings_.zone, settings_.drain_ms, std::random_device{}()) {}
 
@@ -50,7 +50,7 @@
       auto s = load_settings(settings_path());
       log_.say(s ? "Settings read again." : "Settings not taken: " + s.reason);
     });
-    log_.say("Berth " + settings_.node_name + " serves at " + front->second.text() + ".");
+    log_.say("Pooler " + settings_.node_name + " serves at " + front->second.text() + ".");
     loop_.every(kNodeRenewMs, [this] { renew(); });
     loop_.every(kPaceWindowMs, [this] {
       touch();
@@ -70,7 +70,7 @@
     return 0;
   }
 
-  // berth::Port
+  // pooler::Port
   void to_client(SessionId id, std::string bytes) override {
     auto it = clients_.find(id);
     if (it != clients_.end()) it->second->send(bytes);
@@ -82,9 +82,9 @@
     clients_.erase(it);
   }
   void open_server(ConnId id, const Endpoint& at) override {
-    LineConn::connect(
+    LineConnection::connect(
         loop_.io(), at, kServerConnectMs, kMaxMessageBytes,
-        [this, id](LineConn::Ptr conn, const asio::error_code& ec) {
+        [this, id](LineConnection::Ptr conn, const asio::error_code& ec) {
           touch();
           opening_.erase(id);
           bool abandoned = abandoned_.erase(id) > 0;
@@ -142,7 +142,7 @@
     if (once) m["once"] = true;
     feed_.send(m);
   }
-  void pay(const std::string& tenant, tally::Rights want) override {
+  void pay(const std::string& tenant, quota::Rights want) override {
     if (!feed_.up()) return;
     feed_.send(Json{{"t", "pay"},
                     {"s", tenant},
@@ -165,7 +165,7 @@
     touch();
     set_silence_limit(socket, kServerConnectMs * 10);
     SessionId id = ++last_session_;
-    auto conn = std::make_shared<LineConn>(std::move(socket), kMaxMessageBytes);
+    auto conn = std::make_shared<LineConnection>(std::move(socket), kMaxMessageBytes);
     clients_[id] = conn;
     engine_.client_open(id);
     conn->start({[this, id](std::string_view line) {
@@ -173,9 +173,9 @@
                    engine_.client_line(id, line);
                    if (pressed(id)) hold_back(id);
                  },
-                 [this, id](LineConn::End end) {
+                 [this, id](LineConnection::End end) {
                    touch();
-                   if (end == LineConn::End::kTooLong) engine_.client_too_long(id);
+                   if (end == LineConnection::End::kTooLong) engine_.client_too_long(id);
                    clients_.erase(id);
                    engine_.client_closed(id);
                    loop_.rearm();
@@ -202,13 +202,13 @@
     if (!held_back_.empty()) loop_.timers().at(loop_.now() + kReconnectMs / 4, [this] { let_on(); });
   }
 
-  void start_server(ConnId id, const LineConn::Ptr& conn) {
+  void start_server(ConnId id, const LineConnection::Ptr& conn) {
     servers_[id] = conn;
     conn->start({[this, id](std::string_view line) {
                    touch();
                    engine_.server_line(id, line);
                  },
-                 [this, id](LineConn::End) {
+                 [this, id](LineConnection::End) {
                    touch();
                    servers_.erase(id);
                    engine_.server_down(id, false, false);
@@ -226,10 +226,10 @@
     if (!feed_.up()) return;
     told_ = engine_.acknowledged();
     Json m{{"t", "renew"}, {"at", loop_.now()}, {"ack", told_}};
-    if (Json met = engine_.take_soundings(); !met.is_null()) m["met"] = std::move(met);
+    if (Json met = engine_.take_positions(); !met.is_null()) m["met"] = std::move(met);
     feed_.send(m);
     // An acknowledgement that waits for running work follows as soon as that is over.
-    if (told_ < engine_.chart().number() && !watching_) watch();
+    if (told_ < engine_.cluster().number() && !watching_) watch();
   }
 
   void watch() {
@@ -239,7 +239,7 @@
       touch();
       if (engine_.acknowledged() > told_)
         renew();
-      else if (told_ < engine_.chart().number())
+      else if (told_ < engine_.cluster().number())
         watch();
     });
     loop_.rearm();
@@ -250,7 +250,7 @@
     bool was = engine_.ready();
     if (!news_.hear(loop_.now(), line)) return;
     if (!was && engine_.ready())
-      log_.say("Ready with configuration " + std::to_string(engine_.chart().config().revision) + ".");
+      log_.say("Ready with configuration " + std::to_string(engine_.cluster().config().revision) + ".");
     renew();
   }
 
@@ -291,15 +291,15 @@
     loop_.rearm();
   }
 
-  Log log_{"berth"};
+  Log log_{"pooler"};
   Settings settings_;
-  Loop loop_;
-  berth::Engine engine_;
-  berth::News news_{engine_};
+  EventLoop loop_;
+  pooler::Engine engine_;
+  pooler::News news_{engine_};
   std::unique_ptr<HttpServer> ready_;
   std::unique_ptr<Acceptor> front_;
-  std::unordered_map<SessionId, LineConn::Ptr> clients_;
-  std::unordered_map<ConnId, LineConn::Ptr> servers_;
+  std::unordered_map<SessionId, LineConnection::Ptr> clients_;
+  std::unordered_map<ConnId, LineConnection::Ptr> servers_;
   std::set<ConnId> opening_, abandoned_;
   struct Told {  // to the core, of a database
     Millis at = 0;
@@ -310,22 +310,22 @@
   SessionId last_session_ = 0;
   const std::string life_ =
       std::to_string(std::uint64_t(std::random_device{}()) << 32 | std::random_device{}());
-  FeedLink feed_{loop_,
-                 settings_.feed(),
-                 {[this](std::string_view line) { on_feed(line); },
-                  [this] {
-                    news_.linked(loop_.now());
-                    renew();
-                  }}};
+  AgentLink feed_{loop_,
+                  settings_.feed(),
+                  {[this](std::string_view line) { on_feed(line); },
+                   [this] {
+                     news_.linked(loop_.now());
+                     renew();
+                   }}};
   std::uint64_t told_ = 0;
   bool watching_ = false;
 };
 
-int run_berth(const std::string&) {
-  return run_role("berth", [](Settings s) { return Berth(std::move(s)).run(); });
+int run_pooler() {
+  return run_role("pooler", [](Settings s) { return Pooler(std::move(s)).run(); });
 }
 
-RegisterCommand berth_command("berth", {"serves client sessions on an edge machine", "", run_berth});
+const RegisterCommand kPoolerCommand("pooler", "serves client sessions on an edge machine", run_pooler);
 
 }  // namespace
 }  // namespace pebblespindle
--- a/src/tally/account.h
+++ b/src/quota/bounded_counter.h
@@ -8,13 +8,13 @@
 #include <map>
 #include <string>
 
-namespace pebblespindle::tally {
+namespace pebblespindle::quota {
 
 using Holder = std::string;    // of one life of one process: a row is never continued by another life
 using Rights = std::int64_t;   // thousandths of an operation
 constexpr Rights kOne = 1000;  // one operation
 
-class Account {
+class BoundedCounter {
  public:
   Rights rights() const {
     Rights r = credited_ - used_;
@@ -57,4 +57,4 @@
   std::map<Holder, Rights> given_, got_;
 };
 
-}  // namespace pebblespindle::tally
+}  // namespace pebblespindle::quota
--- a/src/tally/purser.cc
+++ b/src/quota/quota_allocator.cc
@@ -1,12 +1,12 @@
-#include "tally/purser.h"
+#include "quota/quota_allocator.h"
 
-#include "keel/constants.h"
+#include "base/constants.h"
 
-namespace pebblespindle::tally {
+namespace pebblespindle::quota {
 using namespace constants;
 
-void Purser::pass(Millis now, const std::map<std::string, Tenant>& tenants, std::size_t cores) {
-  Millis since = last_ < 0 ? 0 : std::min<Millis>(now - last_, kTallyStepMost);
+void QuotaAllocator::pass(Millis now, const std::map<std::string, Tenant>& tenants, std::size_t cores) {
+  Millis since = last_ < 0 ? 0 : std::min<Millis>(now - last_, kQuotaStepMost);
   last_ = now;
   std::erase_if(stores_, [&](auto& s) { return !tenants.count(s.first); });
   for (auto& [name, t] : tenants) {
@@ -14,40 +14,41 @@
     Store& s = stores_[name];
     if (cores == 0) continue;
     // Rights that pile up never exceed this core's share of the burst, and a little for the smallest.
-    s.most = Rights(double(kOne) * (t.burst * kTallyPile / double(cores) + kTallyLeast));
+    s.most = Rights(double(kOne) * (t.burst * kQuotaPile / double(cores) + kQuotaLeast));
     Rights more =
         Rights(t.rate_per_s * double(since) / double(cores));  // operations a second are thousandths a ms
     s.account.credit(std::min(more, std::max<Rights>(0, s.most - s.account.rights())));
   }
 }
 
-std::optional<Rights> Purser::ask(const std::string& tenant, const Holder& who, Rights known, Rights want) {
+std::optional<Rights> QuotaAllocator::ask(const std::string& tenant, const Holder& who, Rights known,
+                                          Rights want) {
   auto it = stores_.find(tenant);
   if (it == stores_.end() || want < 0) return std::nullopt;
-  Account& a = it->second.account;
+  BoundedCounter& a = it->second.account;
   it->second.in_use = true;
   // One that has not heard of what it was given asks again: it is told, not given twice.
   if (a.given(who) > known) return a.given(who);
   return a.give(who, std::min(want, a.rights() / 2));
 }
 
-bool Purser::paid(const std::string& tenant, const Holder& from, Rights sum) {
+bool QuotaAllocator::paid(const std::string& tenant, const Holder& from, Rights sum) {
   auto it = stores_.find(tenant);
   return it != stores_.end() && it->second.account.hear(from, sum);
 }
 
-Rights Purser::rights(const std::string& tenant) const {
+Rights QuotaAllocator::rights(const std::string& tenant) const {
   auto it = stores_.find(tenant);
   return it == stores_.end() ? 0 : it->second.account.rights();
 }
 
-Json Purser::sums() const {
+Json QuotaAllocator::sums() const {
   Json j;
   for (auto& [name, s] : stores_) j[name] = s.account.rights();
   return j;
 }
 
-void Purser::heard(const Holder& peer, Millis now, const Json& sums) {
+void QuotaAllocator::heard(const Holder& peer, Millis now, const Json& sums) {
   Peer& p = peers_[peer];
   p.at = now;
   p.sums.clear();
@@ -56,13 +57,13 @@
     if (n.is_number_integer()) p.sums[name] = n.get<Rights>();
 }
 
-std::vector<Purser::Ask> Purser::shortages(Millis now) {
+std::vector<QuotaAllocator::Ask> QuotaAllocator::shortages(Millis now) {
   std::vector<Ask> out;
-  std::erase_if(peers_, [&](auto& p) { return now > p.second.at + 3 * kTallySyncMs; });
+  std::erase_if(peers_, [&](auto& p) { return now > p.second.at + 3 * kQuotaSyncMs; });
   for (auto& [name, s] : stores_) {
     Rights have = s.account.rights();
-    if (!s.in_use || double(have) >= double(s.most) * kTallyThreshold + double(kOne)) continue;
-    if (now < s.asked_at + kTallyAskMs) continue;
+    if (!s.in_use || double(have) >= double(s.most) * kQuotaThreshold + double(kOne)) continue;
+    if (now < s.asked_at + kQuotaAskMs) continue;
     const Holder* richest = nullptr;
     Rights most = have + 2 * kOne;  // less is not worth a message
     for (auto& [peer, p] : peers_) {
@@ -76,4 +77,4 @@
   return out;
 }
 
-}  // namespace pebblespindle::tally
+}  // namespace pebblespindle::quota
--- a/src/tally/purser.h
+++ b/src/quota/quota_allocator.h
@@ -6,15 +6,15 @@
 #include <optional>
 #include <vector>
 
-#include "keel/schema.h"
-#include "ordinance/records.h"
-#include "tally/account.h"
+#include "base/json_schema.h"
+#include "config/records.h"
+#include "quota/bounded_counter.h"
 
-namespace pebblespindle::tally {
+namespace pebblespindle::quota {
 
-class Purser {
+class QuotaAllocator {
  public:
-  explicit Purser(Holder self) : self_(std::move(self)) {}
+  explicit QuotaAllocator(Holder self) : self_(std::move(self)) {}
   const Holder& self() const { return self_; }
 
   // Time passes. `cores`: that share every allowance now; 0: this one has no place, and credits nothing.
@@ -38,7 +38,7 @@
 
  private:
   struct Store {
-    Account account;
+    BoundedCounter account;
     Rights most = 0;
     Millis asked_at = -1000000;
     bool in_use = false;
@@ -53,4 +53,4 @@
   std::map<Holder, Peer> peers_;
 };
 
-}  // namespace pebblespindle::tally
+}  // namespace pebblespindle::quota
--- a/src/berth/purse.h
+++ b/src/quota/quota_client.h
@@ -4,17 +4,17 @@
 #pragma once
 #include <cmath>
 
-#include "keel/constants.h"
-#include "keel/types.h"
-#include "tally/account.h"
+#include "base/constants.h"
+#include "base/types.h"
+#include "quota/bounded_counter.h"
 
-namespace pebblespindle::berth {
+namespace pebblespindle::pooler {
 
-class Purse {
+class QuotaClient {
  public:
   struct Outcome {
     bool paid = false, exhausted = false;
-    tally::Rights want = 0;  // to be asked of the core now; 0: nothing
+    quota::Rights want = 0;  // to be asked of the core now; 0: nothing
   };
   Outcome take(Millis now, const std::string& tenant) {
     Held& h = held_[tenant];
@@ -22,35 +22,35 @@
     h.pace = h.pace * std::exp2(-double(now - h.at) / 1000.0) + 1;
     h.at = now;
     Outcome o;
-    o.paid = h.account.debit(tally::kOne);
+    o.paid = h.account.debit(quota::kOne);
     // Ahead of use: what is used here in a moment. Below a threshold more is asked for.
-    auto ahead = tally::Rights(double(tally::kOne) * std::max(1.0, h.pace * constants::kRightsAheadS));
+    auto ahead = quota::Rights(double(quota::kOne) * std::max(1.0, h.pace * constants::kRightsAheadS));
     if (!o.paid) o.exhausted = now < h.empty_until;
     bool low = !o.paid || (h.pace > 3 && h.account.rights() < ahead / 10);
-    if (low && !o.exhausted && now >= h.asked_at + constants::kTallyAskMs) {
+    if (low && !o.exhausted && now >= h.asked_at + constants::kQuotaAskMs) {
       h.asked_at = now;
-      o.want = ahead + tally::kOne;
+      o.want = ahead + quota::kOne;
     }
     return o;
   }
-  void paid(Millis now, const std::string& tenant, const tally::Holder& from, tally::Rights sum) {
+  void paid(Millis now, const std::string& tenant, const quota::Holder& from, quota::Rights sum) {
     Held& h = held_[tenant];
     settle(now, h);
-    const tally::Rights before = h.account.got(from);
+    const quota::Rights before = h.account.got(from);
     if (!h.account.hear(from, sum)) return;
     h.asked_at = -1000000;
     h.heard_at = now;
     // Nothing more is to be had for a moment: refusals need not wait for the core.
-    if (sum <= before) h.empty_until = now + constants::kTallyAskMs;
+    if (sum <= before) h.empty_until = now + constants::kQuotaAskMs;
   }
-  tally::Rights known(const std::string& tenant, const tally::Holder& core) const {
+  quota::Rights known(const std::string& tenant, const quota::Holder& core) const {
     auto it = held_.find(tenant);
     return it == held_.end() ? 0 : it->second.account.got(core);
   }
 
  private:
   struct Held {
-    tally::Account account;
+    quota::BoundedCounter account;
     Millis at = 0, asked_at = -1000000, heard_at = 0, empty_until = 0;
     double pace = 0;  // operations of late, halved each second
   };
@@ -61,4 +61,4 @@
   std::map<std::string, Held> held_;
 };
 
-}  // namespace pebblespindle::berth
+}  // namespace pebblespindle::pooler
--- a/src/chain/shape.cc
+++ b/src/replication/message_validation.cc
@@ -1,12 +1,12 @@
-#include "chain/shape.h"
+#include "replication/message_validation.h"
 
 #include <map>
 
-#include "chain/fields.h"
-#include "chain/view.h"
-#include "keel/constants.h"
+#include "base/constants.h"
+#include "base/json_fields.h"
+#include "replication/view.h"
 
-namespace pebblespindle::chain {
+namespace pebblespindle::replication {
 namespace {
 
 bool counts(const Json& j) {
@@ -79,4 +79,4 @@
   return true;
 }
 
-}  // namespace pebblespindle::chain
+}  // namespace pebblespindle::replication
--- a/src/chain/node.cc
+++ b/src/replication/replica.cc
@@ -1,12 +1,12 @@
-#include "chain/node.h"
+#include "replication/replica.h"
 
 #include <algorithm>
 
-#include "chain/fields.h"
-#include "chain/shape.h"
-#include "keel/constants.h"
+#include "base/constants.h"
+#include "base/json_fields.h"
+#include "replication/message_validation.h"
 
-namespace pebblespindle::chain {
+namespace pebblespindle::replication {
 using namespace constants;
 
 Node::Node(Start start, Disk& disk, Outlet& out, Millis now)
@@ -46,7 +46,7 @@
   auto meta = disk_.meta();
   auto parsed = Json::parse(meta["durable"], nullptr, false);
   auto v = View::from(Json::parse(meta["view"], nullptr, false));
-  ledger_.clear();
+  state_.clear();
   staged_.clear();
   stage_.reset();
   history_ = History();
@@ -66,17 +66,17 @@
   accepted_ = {number(parsed, "ai"), number(parsed, "ab")};
   if (parsed.contains("av")) accepted_view_ = View::from(parsed["av"]);
   synced_ = number(parsed, "synced");
-  for (auto& r : disk_.rows()) ledger_.put(r);
+  for (auto& r : disk_.rows()) state_.put(r);
   auto stored = Json::parse(meta["stored"], nullptr, false);
-  if (stored.is_number_unsigned()) ledger_.set_stored(std::max<std::uint64_t>(ledger_.stored(), stored));
-  ledger_.trim(number(parsed, "trimmed"));
-  // A ledger of a former version knows no terms: all that it holds counts as of the present head's.
-  if (!history_.enter(parsed.value("terms", Json())) && ledger_.stored() > 0) history_.begin(view_.headed, 1);
+  if (stored.is_number_unsigned()) state_.set_stored(std::max<std::uint64_t>(state_.stored(), stored));
+  state_.trim(number(parsed, "trimmed"));
+  // A state of a former version knows no terms: all that it holds counts as of the present head's.
+  if (!history_.enter(parsed.value("terms", Json())) && state_.stored() > 0) history_.begin(view_.headed, 1);
   stage_ = Stage::from(parsed.value("stage", Json()));
   if (stage_)
     for (auto& r : disk_.staged()) staged_.put(r);
   // What the tail holds, all members before it hold as well.
-  if (tail() && synced_ == view_.number) committed_ = ledger_.stored();
+  if (tail() && synced_ == view_.number) committed_ = state_.stored();
   for (auto& m : view_.members) meet(host_of(m.name));
   for (auto& name : view_.voters) meet(host_of(name));
 }
@@ -90,12 +90,12 @@
          {"ab", accepted_.ballot},
          {"synced", synced_},
          {"terms", history_.above(0)},
-         {"trimmed", ledger_.trimmed()}};
+         {"trimmed", state_.trimmed()}};
   if (stage_) d["stage"] = stage_->json();
   if (accepted_view_) d["av"] = accepted_view_->json();
   b.meta["durable"] = d.dump();
   b.meta["view"] = view_.json().dump();
-  b.meta["stored"] = std::to_string(ledger_.stored());
+  b.meta["stored"] = std::to_string(state_.stored());
   if (disk_.commit(b)) return true;
   // What memory holds is not what the disk holds: this core takes no part until it has read the disk anew.
   sick_ = true;
@@ -231,7 +231,7 @@
       else if (p.out_of_step_since < 0)
         p.out_of_step_since = now;
     }
-    bool waits = in_step() && !tail() && committed_ < ledger_.stored() && seated(now);
+    bool waits = in_step() && !tail() && committed_ < state_.stored() && seated(now);
     if (!waits)
       stuck_since_ = -1;
     else if (stuck_since_ < 0)
@@ -240,7 +240,7 @@
     answer_origins(now);  // what waited for the seat
     ask_state(now);
     // Nothing comes back: the next member is asked what it holds, and is sent what it lacks.
-    if (in_step() && !tail() && (committed_ < ledger_.stored() || !in_step(view_.after(self_))) &&
+    if (in_step() && !tail() && (committed_ < state_.stored() || !in_step(view_.after(self_))) &&
         now >= last_progress_ + kSubmitRetryMs) {
       sent_.reset();
       pass_on(now);
@@ -330,9 +330,9 @@
     out_.send(next, {{"t", "ask"}, {"n", view_.number}});
     return;
   }
-  Json m = rows_after(*sent_, ledger_.since(*sent_));
+  Json m = rows_after(*sent_, state_.since(*sent_));
   m["n"] = view_.number;
-  sent_ = ledger_.stored();
+  sent_ = state_.stored();
   out_.send(next, m);
 }
 
@@ -341,7 +341,7 @@
   Json m{{"t", "up"},
          {"base", base},
          {"bt", history_.at(base)},
-         {"k", ledger_.stored()},
+         {"k", state_.stored()},
          {"r", rows_to_json(rows)}};
   if (Json terms = history_.above(base); !terms.empty()) m["e"] = std::move(terms);
   Json o = Json::array();
@@ -360,7 +360,7 @@
   if (member ? view_.before(self_) != from : !answer) return;
   auto rows = rows_from_json(m.value("r", Json()));
   if (!rows) return;
-  const std::uint64_t base = number(m, "base"), k = number(m, "k"), before = ledger_.stored();
+  const std::uint64_t base = number(m, "base"), k = number(m, "k"), before = state_.stored();
   if (base > before || k < base || !history_.agrees(base, number(m, "bt")) || (joining && base != before)) {
     if (answer) return;
     asked_at_ = -100000;
@@ -372,8 +372,8 @@
     history_.enter(m.value("e", Json()));
     for (auto& r : *rows.value)
       if (r.number > before) b.rows.push_back(r);
-    for (auto& r : b.rows) ledger_.put(r);
-    ledger_.set_stored(k);
+    for (auto& r : b.rows) state_.put(r);
+    state_.set_stored(k);
   }
   if (member) synced_ = view_.number;
   if ((k > before || (member && joining) || b.clear_staged) && !save(now, b)) return;
@@ -391,7 +391,7 @@
     }
   if (joining) return in_step_now(now);
   if (tail())
-    commit_up_to(now, ledger_.stored());
+    commit_up_to(now, state_.stored());
   else if (k > before)
     pass_on(now);
 }
@@ -400,7 +400,7 @@
 void Node::in_step_now(Millis now) {
   last_progress_ = now;
   if (tail()) {
-    commit_up_to(now, ledger_.stored());
+    commit_up_to(now, state_.stored());
   } else if (have_waiting_) {
     Json m = *std::exchange(have_waiting_, std::nullopt);
     on_have(now, view_.after(self_), m);
@@ -418,7 +418,7 @@
 void Node::on_commit(Millis now, const CoreName& from, const Json& m) {
   if (number(m, "n") != view_.number || view_.after(self_) != from || !in_step()) return;
   stuck_since_ = -1;
-  commit_up_to(now, std::min(number(m, "k"), ledger_.stored()));
+  commit_up_to(now, std::min(number(m, "k"), state_.stored()));
 }
 
 void Node::commit_up_to(Millis now, std::uint64_t k) {
@@ -472,30 +472,30 @@
 
 // One batch is on its way at a time: what is offered meanwhile shares the next sync and the next message.
 void Node::take_waiting(Millis now) {
-  if (waiting_.empty() || committed_ < ledger_.stored()) return;
+  if (waiting_.empty() || committed_ < state_.stored()) return;
   auto offers = std::move(waiting_);
   waiting_.clear();
   if (view_.head() != self_ || !seated(now)) return;  // they are offered again, here or elsewhere
   Batch b;
   for (auto& o : offers) {
     if (now >= o.at + kSubmitGiveUpMs) continue;  // nobody waits for it any more
-    Verdict v = out_.judge(ledger_, o.update);
+    Verdict v = out_.judge(state_, o.update);
     if (v.status != 200 || v.rows.empty()) {
       origins_.push_back(
-          {ledger_.stored(), o.core, o.id, v.status, v.status == 200 ? "same" : v.reason, o.tried});
+          {state_.stored(), o.core, o.id, v.status, v.status == 200 ? "same" : v.reason, o.tried});
       continue;
     }
-    std::uint64_t next = ledger_.stored() + 1;
+    std::uint64_t next = state_.stored() + 1;
     for (auto& r : v.rows) {
       r.number = next;
-      ledger_.put(r);
+      state_.put(r);
       b.rows.push_back(r);
     }
     origins_.push_back({next, o.core, o.id, 200, {}, o.tried});
   }
   if (b.rows.empty()) return answer_origins(now);
   if (!save(now, b)) return;
-  if (tail()) return commit_up_to(now, ledger_.stored());
+  if (tail()) return commit_up_to(now, state_.stored());
   pass_on(now);
 }
 
@@ -553,7 +553,7 @@
 
 void Node::serve_read(Millis now, const CoreName& from, const Json& m) {
   if (!tail() || !seated(now)) return;
-  const Row* r = ledger_.find(field<std::string>(m, "key", ""));
+  const Row* r = state_.find(field<std::string>(m, "key", ""));
   Json a{{"t", "val"}, {"id", number(m, "id")}};
   if (r) a["v"] = r->value;
   deliver(now, from, a);
@@ -609,4 +609,4 @@
   }
 }
 
-}  // namespace pebblespindle::chain
+}  // namespace pebblespindle::replication
--- a/src/chain/node.h
+++ b/src/replication/replica.h
@@ -5,12 +5,12 @@
 #include <map>
 #include <set>
 
-#include "chain/history.h"
-#include "chain/view.h"
-#include "keel/constants.h"
-#include "ledger/ledger.h"
+#include "base/constants.h"
+#include "replication/term_history.h"
+#include "replication/view.h"
+#include "storage/state_table.h"
 
-namespace pebblespindle::chain {
+namespace pebblespindle::replication {
 
 // What the head decides about an offered update.
 struct Verdict {
@@ -29,8 +29,8 @@
  public:
   virtual ~Outlet() = default;
   virtual void send(const CoreName& to, const Json& message) = 0;
-  virtual Verdict judge(const Ledger& ledger, const Json& update) = 0;  // pure; run at the head
-  virtual void committed(std::uint64_t number) = 0;                     // committed() rose
+  virtual Verdict judge(const StateTable& state, const Json& update) = 0;  // pure; run at the head
+  virtual void committed(std::uint64_t number) = 0;                        // committed() rose
   virtual void note(const std::string& sentence) = 0;
 };
 
@@ -64,12 +64,12 @@
   void trim(Millis now, std::uint64_t acked);
 
   const View& view() const { return view_; }
-  const Ledger& ledger() const { return ledger_; }
+  const StateTable& state() const { return state_; }
   std::uint64_t committed() const { return committed_; }
-  bool settled() const { return in_step() && committed_ == ledger_.stored(); }
+  bool settled() const { return in_step() && committed_ == state_.stored(); }
   bool seated(Millis now, Millis guard = 0) const;  // holds its place by a majority's lease
   bool leads(Millis now) const;                     // holds the duty of the head, and may act on it
-  // What the ledger holds may be handed out: all of it is committed, and no newer view can be at work.
+  // What the state holds may be handed out: all of it is committed, and no newer view can be at work.
   bool serves(Millis now) const { return settled() && seated(now); }
   // Hears from a majority of the voters that they stand at this very view: what it says of it is of today.
   bool in_touch(Millis now) const;
@@ -156,11 +156,11 @@
   void commit_up_to(Millis now, std::uint64_t number);
 
   // catching up
-  struct Stage {           // of a state that is being taken, until it is whole
-    bool whole = false;    // it will replace what is held; else it adds to it
-    bool scanned = false;  // all keys have been walked; what has changed since is still to come, by number
-    std::string cursor;    // of the walk by key
-    Ledger::Place place;   // of the walk by number
+  struct Stage {              // of a state that is being taken, until it is whole
+    bool whole = false;       // it will replace what is held; else it adds to it
+    bool scanned = false;     // all keys have been walked; what has changed since is still to come, by number
+    std::string cursor;       // of the walk by key
+    StateTable::Place place;  // of the walk by number
     std::uint64_t top = 0, term = 0;  // where the core stood that sent the last piece
     Json json() const;
     static std::optional<Stage> from(const Json& j);
@@ -192,10 +192,10 @@
   Ballot accepted_;
   std::optional<View> accepted_view_;
   std::uint64_t synced_ = 0;  // the view whose state this core holds in full
-  Ledger ledger_;
+  StateTable state_;
   History history_;
   std::optional<Stage> stage_;
-  Ledger staged_;
+  StateTable staged_;
 
   // of this life only
   std::optional<std::uint64_t> sent_;  // up to which the next member has been sent the rows; empty: not known
@@ -244,4 +244,4 @@
   std::uint64_t last_id_ = 0;
 };
 
-}  // namespace pebblespindle::chain
+}  // namespace pebblespindle::replication
--- a/src/chain/catch_up.cc
+++ b/src/replication/state_transfer.cc
@@ -2,11 +2,11 @@
 // it lacks: rows in one message where they are few, else pieces, each asked for once the one before is on the
 // disk. Who holds rows that are in nobody's history, or stands below what has been trimmed, takes the state
 // whole.
-#include "chain/fields.h"
-#include "chain/node.h"
-#include "keel/constants.h"
+#include "base/constants.h"
+#include "base/json_fields.h"
+#include "replication/replica.h"
 
-namespace pebblespindle::chain {
+namespace pebblespindle::replication {
 using namespace constants;
 
 Json Node::Stage::json() const {
@@ -49,8 +49,8 @@
          {"q", ++asked_},
          {"s", synced_},
          {"c", committed_},
-         {"k", ledger_.stored()},
-         {"kt", history_.at(ledger_.stored())}};
+         {"k", state_.stored()},
+         {"kt", history_.at(state_.stored())}};
   if (stage_) m["st"] = stage_->json();
   out_.send(from, m);
 }
@@ -64,7 +64,7 @@
     return;
   }
   if (next && number(m, "s") == view_.number) {
-    if (number(m, "k") > ledger_.stored()) {
+    if (number(m, "k") > state_.stored()) {
       // It was sent more than is held here: this disk has gone back. What it holds is no state of the view.
       out_.note("The disk holds less than was passed on from here. This core takes the state anew.");
       synced_ = 0;
@@ -74,20 +74,20 @@
     // It is in step: what it holds in the present view is a part of what is held here.
     peers_[from].synced = view_.number;
     sent_ = number(m, "k");
-    if (*sent_ < ledger_.stored()) pass_on(now);
+    if (*sent_ < state_.stored()) pass_on(now);
     stuck_since_ = -1;
-    return commit_up_to(now, std::min(number(m, "c"), ledger_.stored()));
+    return commit_up_to(now, std::min(number(m, "c"), state_.stored()));
   }
   give_state(from, m);
 }
 
 // What a core that has told where it stands is sent next.
 void Node::give_state(const CoreName& to, const Json& m) {
-  const std::uint64_t k = number(m, "k"), top = ledger_.stored();
-  const bool follows = k >= ledger_.trimmed() && k <= top && history_.agrees(k, number(m, "kt"));
+  const std::uint64_t k = number(m, "k"), top = state_.stored();
+  const bool follows = k >= state_.trimmed() && k <= top && history_.agrees(k, number(m, "kt"));
   Json a{{"n", view_.number}, {"q", number(m, "q")}};
   if (follows) {
-    auto lacks = ledger_.by_number({k + 1, {}}, piece_bytes_);
+    auto lacks = state_.by_number({k + 1, {}}, piece_bytes_);
     if (lacks.complete) {
       a.update(rows_after(k, lacks.rows));
       if (view_.after(self_) == to) sent_ = top;
@@ -98,7 +98,7 @@
   // one.
   auto stage = Stage::from(m.value("st", Json()));
   bool fresh = !stage || stage->top > top || !history_.agrees(stage->top, stage->term) ||
-               stage->place.number <= ledger_.trimmed() || (!stage->whole && !follows);
+               stage->place.number <= state_.trimmed() || (!stage->whole && !follows);
   if (fresh) {
     stage = Stage{};
     stage->whole = !follows || k == 0;
@@ -106,15 +106,15 @@
     stage->place.number = (stage->whole ? top : k) + 1;
     a["new"] = true;
   }
-  Ledger::Walk walk;
+  StateTable::Walk walk;
   bool whole_now = false;
   if (!stage->scanned) {
-    walk = ledger_.by_key(stage->cursor, piece_bytes_);
+    walk = state_.by_key(stage->cursor, piece_bytes_);
     if (!walk.rows.empty()) stage->cursor = walk.rows.back().key;
     stage->scanned = walk.complete;
     whole_now = walk.complete && stage->place.number > top;  // nothing has changed meanwhile
   } else {
-    walk = ledger_.by_number(stage->place, piece_bytes_);
+    walk = state_.by_number(stage->place, piece_bytes_);
     if (!walk.rows.empty()) stage->place = {walk.rows.back().number, walk.rows.back().key};
     whole_now = walk.complete;
   }
@@ -125,8 +125,8 @@
   a["r"] = rows_to_json(walk.rows);
   if (whole_now) {
     a["e"] = history_.above(0);
-    a["trimmed"] = ledger_.trimmed();
-    a["size"] = ledger_.size();
+    a["trimmed"] = state_.trimmed();
+    a["size"] = state_.size();
     if (view_.after(self_) == to) sent_ = top;
   }
   out_.send(to, a);
@@ -174,15 +174,15 @@
             std::to_string(staged_.size()) + (stage->whole ? " rows in whole." : " rows that were missing."));
   if (stage->whole) {
     b.promote = Batch::Promote::kReplace;
-    ledger_.take(staged_);
-    ledger_.trim(number(m, "trimmed"));
-    b.trim = ledger_.trimmed();
+    state_.take(staged_);
+    state_.trim(number(m, "trimmed"));
+    b.trim = state_.trimmed();
   } else {
     b.promote = Batch::Promote::kMerge;
-    for (auto& r : staged_.since(0)) ledger_.put(r);
+    for (auto& r : staged_.since(0)) state_.put(r);
     staged_.clear();
   }
-  ledger_.set_stored(stage->top);
+  state_.set_stored(stage->top);
   history_ = std::move(history);
   stage_.reset();
   origins_.clear();
@@ -205,11 +205,11 @@
     trims_.erase(trims_.begin());
   }
   to = std::min(to, acked);
-  if (to <= ledger_.trimmed()) return;
-  ledger_.trim(to);
+  if (to <= state_.trimmed()) return;
+  state_.trim(to);
   Batch b;
   b.trim = to;
   save(now, b);
 }
 
-}  // namespace pebblespindle::chain
+}  // namespace pebblespindle::replication
--- a/src/chain/history.cc
+++ b/src/replication/term_history.cc
@@ -1,10 +1,10 @@
-#include "chain/history.h"
+#include "replication/term_history.h"
 
 #include <algorithm>
 
-#include "keel/constants.h"
+#include "base/constants.h"
 
-namespace pebblespindle::chain {
+namespace pebblespindle::replication {
 
 std::uint64_t History::at(std::uint64_t number) const {
   if (number == 0) return 0;
@@ -35,4 +35,4 @@
   return true;
 }
 
-}  // namespace pebblespindle::chain
+}  // namespace pebblespindle::replication
--- a/src/chain/history.h
+++ b/src/replication/term_history.h
@@ -3,9 +3,9 @@
 #pragma once
 #include <vector>
 
-#include "keel/schema.h"
+#include "base/json_schema.h"
 
-namespace pebblespindle::chain {
+namespace pebblespindle::replication {
 
 class History {
  public:
@@ -32,4 +32,4 @@
   std::vector<Term> terms_;  // rising
 };
 
-}  // namespace pebblespindle::chain
+}  // namespace pebblespindle::replication
--- a/src/chain/view.cc
+++ b/src/replication/view.cc
@@ -1,8 +1,8 @@
-#include "chain/view.h"
+#include "replication/view.h"
 
 #include <algorithm>
 
-namespace pebblespindle::chain {
+namespace pebblespindle::replication {
 
 std::string host_of(const CoreName& name) {
   return name.substr(0, name.find('~'));
@@ -83,4 +83,4 @@
   return v;
 }
 
-}  // namespace pebblespindle::chain
+}  // namespace pebblespindle::replication
--- a/src/chain/view.h
+++ b/src/replication/view.h
@@ -3,9 +3,9 @@
 #include <string>
 #include <vector>
 
-#include "keel/schema.h"
+#include "base/json_schema.h"
 
-namespace pebblespindle::chain {
+namespace pebblespindle::replication {
 
 // A core's identity: its host, and for a core that started on an empty disk after the first start also a
 // mark drawn then ("10.1.0.4~9f31"). A disk that is lost takes the identity, and its votes, with it.
@@ -37,4 +37,4 @@
   bool operator==(const View&) const = default;
 };
 
-}  // namespace pebblespindle::chain
+}  // namespace pebblespindle::replication
--- a/src/chain/agreement.cc
+++ b/src/replication/view_change.cc
@@ -1,11 +1,11 @@
 // The agreement on the next view: one decision a number, by a majority of the present view's voters.
 #include <algorithm>
 
-#include "chain/fields.h"
-#include "chain/node.h"
-#include "keel/constants.h"
+#include "base/constants.h"
+#include "base/json_fields.h"
+#include "replication/replica.h"
 
-namespace pebblespindle::chain {
+namespace pebblespindle::replication {
 using namespace constants;
 
 // Silent for so long, or its disk is lost: another identity speaks from its host.
@@ -241,7 +241,7 @@
   // them.
   bool head = me && v.head() == self_ && synced_ >= me->joined;
   if (head) synced_ = v.number;
-  if (head && v.headed == v.number) history_.begin(v.headed, ledger_.stored() + 1);
+  if (head && v.headed == v.number) history_.begin(v.headed, state_.stored() + 1);
   sent_.reset();
   have_waiting_.reset();
   source_since_ = now;
@@ -260,4 +260,4 @@
   beat(now);
 }
 
-}  // namespace pebblespindle::chain
+}  // namespace pebblespindle::replication
--- a/src/keel/role.h
+++ b/src/settings/run_role.h
@@ -1,7 +1,7 @@
 // Starts a role: reads and checks the settings, says in one line what is wrong with them, else runs.
 #pragma once
-#include "keel/log.h"
-#include "keel/settings.h"
+#include "base/log.h"
+#include "settings/settings.h"
 
 namespace pebblespindle {
 
--- a/src/keel/settings.cc
+++ b/src/settings/settings.cc
@@ -1,4 +1,4 @@
-#include "keel/settings.h"
+#include "settings/settings.h"
 
 #include <charconv>
 #include <cstdlib>
--- a/src/keel/settings.h
+++ b/src/settings/settings.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "keel/schema.h"
+#include "base/json_schema.h"
 
 namespace pebblespindle {
 
@@ -36,9 +36,9 @@
   Millis retry_window_ms = 10000;
   double retry_slack = 0;
 
-  Endpoint inner() const { return {ip, inner_first}; }                       // cores and tenders meet here
-  Endpoint lighter() const { return {ip, std::uint16_t(inner_first + 2)}; }  // lighters meet here
-  Endpoint feed() const { return {"127.0.0.1", std::uint16_t(inner_first + 1)}; }  // tender feeds its berth
+  Endpoint inner() const { return {ip, inner_first}; }                       // cores and agents meet here
+  Endpoint sidecar() const { return {ip, std::uint16_t(inner_first + 2)}; }  // sidecars meet here
+  Endpoint feed() const { return {"127.0.0.1", std::uint16_t(inner_first + 1)}; }  // agent feeds its pooler
 };
 
 Outcome<Settings> read_settings(std::string_view text);
--- a/src/lighter/app_reader.cc
+++ b/src/sidecar/app_response_reader.cc
@@ -1,15 +1,15 @@
-#include "lighter/app_reader.h"
+#include "sidecar/app_response_reader.h"
 
 #include <charconv>
 
-#include "keel/constants.h"
+#include "base/constants.h"
 
-namespace pebblespindle::lighter {
+namespace pebblespindle::sidecar {
 
-AppReader::AppReader()
+AppResponseReader::AppResponseReader()
     : reader_(HttpReader::Kind::kResponses, constants::kMaxAnswerHeadBytes, constants::kMaxCallBytes) {}
 
-bool AppReader::feed(std::string_view bytes, std::vector<Answer>& out) {
+bool AppResponseReader::feed(std::string_view bytes, std::vector<Answer>& out) {
   while (!bytes.empty()) {
     std::size_t took = 0;
     auto state = reader_.feed(bytes, took);
@@ -31,4 +31,4 @@
   return true;
 }
 
-}  // namespace pebblespindle::lighter
+}  // namespace pebblespindle::sidecar
--- a/src/lighter/app_reader.h
+++ b/src/sidecar/app_response_reader.h
@@ -1,13 +1,13 @@
 // What a database says on one connection, as answers. No I/O.
 #pragma once
-#include "keel/types.h"
-#include "lighter/call.h"
+#include "base/types.h"
+#include "sidecar/call.h"
 
-namespace pebblespindle::lighter {
+namespace pebblespindle::sidecar {
 
-class AppReader {
+class AppResponseReader {
  public:
-  AppReader();
+  AppResponseReader();
   struct Answer {
     Reply reply;
     Millis keep_ms = 0;  // how long the connection may rest; 0: not said; below 0: it ends with this answer
@@ -20,4 +20,4 @@
   HttpReader reader_;
 };
 
-}  // namespace pebblespindle::lighter
+}  // namespace pebblespindle::sidecar
--- a/src/lighter/call.cc
+++ b/src/sidecar/call.cc
@@ -1,10 +1,10 @@
-#include "lighter/call.h"
+#include "sidecar/call.h"
 
 #include <algorithm>
 
-#include "lighter/frame.h"
+#include "sidecar/frame.h"
 
-namespace pebblespindle::lighter {
+namespace pebblespindle::sidecar {
 
 HttpFields end_to_end(const HttpFields& fields) {
   std::vector<std::string> named;
@@ -94,4 +94,4 @@
   return out;
 }
 
-}  // namespace pebblespindle::lighter
+}  // namespace pebblespindle::sidecar
--- a/src/lighter/call.h
+++ b/src/sidecar/call.h
@@ -1,12 +1,12 @@
-// What passes through a lighter: a request, and what became of it.
+// What passes through a sidecar: a request, and what became of it.
 #pragma once
-#include "keel/http_reader.h"
-#include "keel/schema.h"
+#include "base/json_schema.h"
+#include "net/http_reader.h"
 
-namespace pebblespindle::lighter {
+namespace pebblespindle::sidecar {
 
 using CallId = std::uint64_t;  // of a client's request here
-using LinkId = std::uint64_t;  // a connection to another lighter; 0: this machine's own two halves
+using LinkId = std::uint64_t;  // a connection to another sidecar; 0: this machine's own two halves
 using ConnId = std::uint64_t;  // a connection to the database beside
 
 struct Call {
@@ -40,4 +40,4 @@
 std::string request_bytes(const Call& c);
 std::string reply_bytes(const Reply& r, bool close, bool no_body);
 
-}  // namespace pebblespindle::lighter
+}  // namespace pebblespindle::sidecar
--- a/src/lighter/front.cc
+++ b/src/sidecar/client_listener.cc
@@ -1,32 +1,32 @@
-#include "lighter/front.h"
+#include "sidecar/client_listener.h"
 
 #include <algorithm>
 
-#include "keel/constants.h"
+#include "base/constants.h"
 
-namespace pebblespindle::lighter {
+namespace pebblespindle::sidecar {
 using namespace constants;
 
-std::string Front::listen(const Endpoint& at) {
+std::string ClientListener::listen(const Endpoint& at) {
   auto a = Acceptor::listen(loop_.io(), at, [this](asio::ip::tcp::socket s) { accept(std::move(s)); });
   if (!a) return a.reason;
   acceptor_ = std::move(*a.value);
   return {};
 }
 
-void Front::accept(asio::ip::tcp::socket socket) {
+void ClientListener::accept(asio::ip::tcp::socket socket) {
   auto c = std::make_shared<Client>(out_.limits());
-  c->conn = std::make_shared<LineConn>(std::move(socket), kMaxCallBytes, LineConn::Kind::kBytes);
+  c->conn = std::make_shared<LineConnection>(std::move(socket), kMaxCallBytes, LineConnection::Kind::kBytes);
   if (leaving_) c->line.leave();
   clients_[c.get()] = c;
   c->conn->start({[this, c](std::string_view bytes) { read(c, bytes); },
-                  [this, c](LineConn::End) { ended(c); }, [this] { loop_.rearm(); },
+                  [this, c](LineConnection::End) { ended(c); }, [this] { loop_.rearm(); },
                   [this, c] { written(c); }});
   watch(c);
 }
 
 // A head must be complete in time; a body may go on as long as it moves; a connection may rest only so long.
-void Front::watch(const Ptr& c) {
+void ClientListener::watch(const Ptr& c) {
   loop_.timers().cancel(c->timer);
   if (c->line.waits() == Pipeline::Waits::kNothing && !c->line.over()) return;
   const Limits& l = out_.limits();
@@ -38,7 +38,7 @@
   loop_.rearm();
 }
 
-void Front::on_timer(const Ptr& c) {
+void ClientListener::on_timer(const Ptr& c) {
   if (c->line.over()) {  // its client takes nothing
     c->conn->close();
     return ended(c);
@@ -48,7 +48,7 @@
   write(c, c->line.expired());
 }
 
-void Front::read(const Ptr& c, std::string_view bytes) {
+void ClientListener::read(const Ptr& c, std::string_view bytes) {
   c->line.limits(out_.limits());
   const auto before = c->line.waits();
   std::string out;
@@ -63,7 +63,7 @@
   if (now != before || !asked.empty() || now == Pipeline::Waits::kBody) watch(c);
 }
 
-void Front::answer(CallId id, Reply r) {
+void ClientListener::answer(CallId id, Reply r) {
   auto it = calls_.find(id);
   if (it == calls_.end()) return;
   Ptr c = it->second;
@@ -71,7 +71,7 @@
   write(c, c->line.answer(id, std::move(r)));
 }
 
-void Front::write(const Ptr& c, const std::string& bytes) {
+void ClientListener::write(const Ptr& c, const std::string& bytes) {
   if (!bytes.empty()) c->conn->send(bytes);
   if (c->line.over()) {
     watch(c);
@@ -83,13 +83,13 @@
 }
 
 // All that was sent is out: the client may go on, or the connection has ended.
-void Front::written(const Ptr& c) {
+void ClientListener::written(const Ptr& c) {
   if (!c->conn->open()) return ended(c);
   if (c->line.waiting() <= kBacklogLines) c->conn->pause(false);
   watch(c);
 }
 
-void Front::ended(const Ptr& c) {
+void ClientListener::ended(const Ptr& c) {
   loop_.timers().cancel(c->timer);
   for (auto id : c->line.open())
     if (calls_.erase(id)) out_.gone(id);
@@ -97,13 +97,13 @@
   loop_.rearm();
 }
 
-std::size_t Front::waiting() const {
+std::size_t ClientListener::waiting() const {
   return calls_.size() + std::size_t(std::count_if(clients_.begin(), clients_.end(), [](auto& e) {
            return e.second->conn->open() && e.second->conn->queued() > 0;
          }));
 }
 
-void Front::leave() {
+void ClientListener::leave() {
   leaving_ = true;
   if (acceptor_) acceptor_->close();
   std::vector<Ptr> resting;
@@ -114,4 +114,4 @@
   for (auto& c : resting) write(c, c->line.expired());
 }
 
-}  // namespace pebblespindle::lighter
+}  // namespace pebblespindle::sidecar
--- a/src/lighter/front.h
+++ b/src/sidecar/client_listener.h
@@ -1,22 +1,22 @@
-// The clients of a lighter: their connections, limits and timers; what is said on them is Pipeline's.
+// The clients of a sidecar: their connections, limits and timers; what is said on them is Pipeline's.
 #pragma once
 #include <functional>
 #include <map>
 
-#include "keel/line_conn.h"
-#include "keel/loop.h"
-#include "lighter/pipeline.h"
+#include "net/event_loop.h"
+#include "net/line_connection.h"
+#include "sidecar/pipeline.h"
 
-namespace pebblespindle::lighter {
+namespace pebblespindle::sidecar {
 
-class Front {
+class ClientListener {
  public:
   struct Out {
     std::function<void(CallId, Call)> call;
     std::function<void(CallId)> gone;  // nobody waits for it any more
     std::function<const Limits&()> limits;
   };
-  Front(Loop& loop, Out out) : loop_(loop), out_(std::move(out)) {}
+  ClientListener(EventLoop& loop, Out out) : loop_(loop), out_(std::move(out)) {}
   std::string listen(const Endpoint& at);  // empty, or why not
   void answer(CallId id, Reply r);
   // No new connections, and those that rest are closed; answers close theirs.
@@ -27,9 +27,9 @@
  private:
   struct Client {
     explicit Client(const Limits& l) : line(l) {}
-    LineConn::Ptr conn;
+    LineConnection::Ptr conn;
     Pipeline line;
-    Timers::Id timer = 0;
+    TimerQueue::Id timer = 0;
   };
   using Ptr = std::shared_ptr<Client>;
   void accept(asio::ip::tcp::socket socket);
@@ -40,7 +40,7 @@
   void on_timer(const Ptr& c);
   void ended(const Ptr& c);
 
-  Loop& loop_;
+  EventLoop& loop_;
   Out out_;
   std::unique_ptr<Acceptor> acceptor_;
   std::map<CallId, Ptr> calls_;
@@ -49,4 +49,4 @@
   bool leaving_ = false;
 };
 
-}  // namespace pebblespindle::lighter
+}  // namespace pebblespindle::sidecar
