--- a/src/lighter/quays.cc
+++ b/src/sidecar/connections.cc
@@ -1,21 +1,22 @@
-#include "lighter/quays.h"
+#include "sidecar/connections.h"
 
-#include "keel/constants.h"
+#include "base/constants.h"
 
-namespace pebblespindle::lighter {
+namespace pebblespindle::sidecar {
 using namespace constants;
 
-std::string Links::listen(const Endpoint& at) {
+std::string PeerLinks::listen(const Endpoint& at) {
   auto a = Acceptor::listen(loop_.io(), at, [this](asio::ip::tcp::socket s) { accept(std::move(s)); });
   if (!a) return a.reason;
   acceptor_ = std::move(*a.value);
   return {};
 }
 
-void Links::accept(asio::ip::tcp::socket socket) {
-  set_silence_limit(socket, kLighterSilentMs);
+void PeerLinks::accept(asio::ip::tcp::socket socket) {
+  set_silence_limit(socket, kPeerSilentMs);
   LinkId id = ++last_;
-  auto conn = std::make_shared<LineConn>(std::move(socket), kMaxFrameBytes, LineConn::Kind::kFrames);
+  auto conn =
+      std::make_shared<LineConnection>(std::move(socket), kMaxFrameBytes, LineConnection::Kind::kFrames);
   callers_[id] = conn;
   conn->start({[this, id, conn](std::string_view frame) {
                  if (auto m = unpacked(frame)) return out_.offer(id, *m);
@@ -23,26 +24,26 @@
                  callers_.erase(id);
                  out_.gone(id);
                },
-               [this, id](LineConn::End) {
+               [this, id](LineConnection::End) {
                  callers_.erase(id);
                  out_.gone(id);
                },
                [this] { loop_.rearm(); }});
 }
 
-void Links::reply(LinkId link, const Json& frame) {
+void PeerLinks::reply(LinkId link, const Json& frame) {
   auto it = callers_.find(link);
   if (it != callers_.end()) it->second->send_frame(packed(frame));
 }
 
-void Links::send(const Endpoint& to, const Json& frame) {
+void PeerLinks::send(const Endpoint& to, const Json& frame) {
   Peer& p = peers_[to];
   if (p.conn) return p.conn->send_frame(packed(frame));
   p.held.push_back({frame, loop_.now()});
   if (!p.dialling) dial(to);
 }
 
-bool Links::withdraw(const Endpoint& to, std::uint64_t n) {
+bool PeerLinks::withdraw(const Endpoint& to, std::uint64_t n) {
   auto it = peers_.find(to);
   if (it == peers_.end()) return false;  // its link has ended
   if (!it->second.conn)
@@ -51,17 +52,17 @@
   return false;
 }
 
-bool Links::unsent() const {
+bool PeerLinks::unsent() const {
   for (auto& [id, conn] : callers_)
     if (conn->queued() > 0) return true;
   return false;
 }
 
-void Links::dial(const Endpoint& to) {
+void PeerLinks::dial(const Endpoint& to) {
   peers_[to].dialling = true;
-  LineConn::connect(
-      loop_.io(), to, kLighterDialMs, kMaxFrameBytes,
-      [this, to](LineConn::Ptr conn, const asio::error_code&) {
+  LineConnection::connect(
+      loop_.io(), to, kPeerDialMs, kMaxFrameBytes,
+      [this, to](LineConnection::Ptr conn, const asio::error_code&) {
         Peer& p = peers_[to];
         p.dialling = false;
         auto held = std::exchange(p.held, {});
@@ -71,7 +72,7 @@
           return loop_.rearm();
         }
         p.conn = conn;
-        set_silence_limit(conn->socket(), kLighterSilentMs);
+        set_silence_limit(conn->socket(), kPeerSilentMs);
         auto lost = [this, to, conn] {
           auto it = peers_.find(to);
           if (it == peers_.end() || it->second.conn != conn) return;
@@ -84,7 +85,7 @@
                        conn->close();
                        lost();
                      },
-                     [lost](LineConn::End) { lost(); }, [this] { loop_.rearm(); }});
+                     [lost](LineConnection::End) { lost(); }, [this] { loop_.rearm(); }});
         for (auto& h : held) {  // what was left when it was offered is less by now
           for (const char* key : {"d", "w", "a"})
             if (h.frame.contains(key))
@@ -92,18 +93,18 @@
           conn->send_frame(packed(h.frame));
         }
       },
-      LineConn::Kind::kFrames);
+      LineConnection::Kind::kFrames);
 }
 
-void AppConns::open(ConnId id) {
+void AppConnections::open(ConnId id) {
   if (!app_) {
     asio::post(loop_.io(), [this, id] { out_.down(id, true); });
     return;
   }
   opening_.insert(id);
-  LineConn::connect(
+  LineConnection::connect(
       loop_.io(), *app_, kAppConnectMs, kMaxCallBytes,
-      [this, id](LineConn::Ptr conn, const asio::error_code& ec) {
+      [this, id](LineConnection::Ptr conn, const asio::error_code& ec) {
         if (opening_.erase(id) == 0) {
           if (conn) conn->close();
           return;
@@ -116,7 +117,7 @@
         c->conn = conn;
         conns_[id] = c;
         conn->start({[this, id](std::string_view bytes) { read(id, bytes); },
-                     [this, id](LineConn::End) {
+                     [this, id](LineConnection::End) {
                        if (conns_.erase(id)) out_.down(id, false);
                        loop_.rearm();
                      },
@@ -124,22 +125,22 @@
         out_.up(id);
         loop_.rearm();
       },
-      LineConn::Kind::kBytes);
+      LineConnection::Kind::kBytes);
 }
 
-void AppConns::send(ConnId id, const Call& c) {
+void AppConnections::send(ConnId id, const Call& c) {
   auto it = conns_.find(id);
   if (it == conns_.end()) return;
   it->second->reader.asked(c.method == "HEAD");
   it->second->conn->send(request_bytes(c));
 }
 
-void AppConns::read(ConnId id, std::string_view bytes) {
+void AppConnections::read(ConnId id, std::string_view bytes) {
   out_.bytes(id);
   auto it = conns_.find(id);
   if (it == conns_.end()) return;
   auto c = it->second;
-  std::vector<AppReader::Answer> answers;
+  std::vector<AppResponseReader::Answer> answers;
   const bool fine = c->reader.feed(bytes, answers);
   for (auto& a : answers) {
     // An answer that came before its request was written: the rest of that must not follow.
@@ -152,7 +153,7 @@
   out_.down(id, false);
 }
 
-void AppConns::close(ConnId id) {
+void AppConnections::close(ConnId id) {
   opening_.erase(id);
   auto it = conns_.find(id);
   if (it == conns_.end()) return;
@@ -160,4 +161,4 @@
   conns_.erase(it);
 }
 
-}  // namespace pebblespindle::lighter
+}  // namespace pebblespindle::sidecar
--- a/src/lighter/quays.h
+++ b/src/sidecar/connections.h
@@ -1,18 +1,18 @@
-// The connections of a lighter to its peers and to the database beside it: sockets only, no judgement.
+// The connections of a sidecar to its peers and to the database beside it: sockets only, no judgement.
 #pragma once
 #include <functional>
 #include <map>
 #include <set>
 
-#include "keel/line_conn.h"
-#include "keel/loop.h"
-#include "lighter/app_reader.h"
-#include "lighter/frame.h"
+#include "net/event_loop.h"
+#include "net/line_connection.h"
+#include "sidecar/app_response_reader.h"
+#include "sidecar/frame.h"
 
-namespace pebblespindle::lighter {
+namespace pebblespindle::sidecar {
 
-// Links to other lighters: one each way, kept; frames are MessagePack.
-class Links {
+// PeerLinks to other sidecars: one each way, kept; frames are MessagePack.
+class PeerLinks {
  public:
   struct Out {
     std::function<void(const Endpoint& from, const Json&)> answer;  // over a link this side has opened
@@ -20,7 +20,7 @@
     std::function<void(LinkId, const Json&)> offer;  // over a link the other side has opened
     std::function<void(LinkId)> gone;
   };
-  Links(Loop& loop, Out out) : loop_(loop), out_(std::move(out)) {}
+  PeerLinks(EventLoop& loop, Out out) : loop_(loop), out_(std::move(out)) {}
   std::string listen(const Endpoint& at);
   void send(const Endpoint& to, const Json& frame);
   // Takes back offer `n` where it still waits for its link. False: it may have left, and is called off there.
@@ -34,22 +34,22 @@
     Millis since = 0;
   };
   struct Peer {
-    LineConn::Ptr conn;
+    LineConnection::Ptr conn;
     std::vector<Held> held;  // until it is up
     bool dialling = false;
   };
   void accept(asio::ip::tcp::socket socket);
   void dial(const Endpoint& to);
-  Loop& loop_;
+  EventLoop& loop_;
   Out out_;
   std::unique_ptr<Acceptor> acceptor_;
   std::map<Endpoint, Peer> peers_;
-  std::map<LinkId, LineConn::Ptr> callers_;
+  std::map<LinkId, LineConnection::Ptr> callers_;
   LinkId last_ = 0;
 };
 
 // Connections to the database: one request at a time on each.
-class AppConns {
+class AppConnections {
  public:
   struct Out {
     std::function<void(ConnId)> up;
@@ -57,7 +57,7 @@
     std::function<void(ConnId, Reply, Millis keep_ms)> reply;
     std::function<void(ConnId, bool refused)> down;
   };
-  AppConns(Loop& loop, std::optional<Endpoint> app, Out out)
+  AppConnections(EventLoop& loop, std::optional<Endpoint> app, Out out)
       : loop_(loop), app_(std::move(app)), out_(std::move(out)) {}
   void open(ConnId id);
   void send(ConnId id, const Call& c);
@@ -65,15 +65,15 @@
 
  private:
   struct Conn {
-    LineConn::Ptr conn;
-    AppReader reader;
+    LineConnection::Ptr conn;
+    AppResponseReader reader;
   };
   void read(ConnId id, std::string_view bytes);
-  Loop& loop_;
+  EventLoop& loop_;
   std::optional<Endpoint> app_;
   Out out_;
   std::map<ConnId, std::shared_ptr<Conn>> conns_;
   std::set<ConnId> opening_;
 };
 
-}  // namespace pebblespindle::lighter
+}  // namespace pebblespindle::sidecar
--- a/src/lighter/frame.cc
+++ b/src/sidecar/frame.cc
@@ -1,10 +1,10 @@
-#include "lighter/frame.h"
+#include "sidecar/frame.h"
 
 #include <algorithm>
 
-#include "keel/constants.h"
+#include "base/constants.h"
 
-namespace pebblespindle::lighter {
+namespace pebblespindle::sidecar {
 
 namespace {
 
@@ -71,4 +71,4 @@
   return !s.empty() && one_line(s) && s.find_first_of(" \t") == std::string_view::npos;
 }
 
-}  // namespace pebblespindle::lighter
+}  // namespace pebblespindle::sidecar
--- a/src/lighter/frame.h
+++ b/src/sidecar/frame.h
@@ -1,11 +1,11 @@
-// The frames between lighters, as bytes and as values. What another process has sent is not believed: nothing
+// The frames between sidecars, as bytes and as values. What another process has sent is not believed: nothing
 // here throws, nests deeply or leaves a figure that cannot be.
 #pragma once
 #include <optional>
 
-#include "lighter/call.h"
+#include "sidecar/call.h"
 
-namespace pebblespindle::lighter {
+namespace pebblespindle::sidecar {
 
 std::string packed(const Json& j);
 std::optional<Json> unpacked(std::string_view bytes);
@@ -20,4 +20,4 @@
 bool one_line(std::string_view s);
 bool one_word(std::string_view s);
 
-}  // namespace pebblespindle::lighter
+}  // namespace pebblespindle::sidecar
--- a/src/lighter/inbound.cc
+++ b/src/sidecar/inbound.cc
@@ -1,10 +1,10 @@
-#include "lighter/inbound.h"
+#include "sidecar/inbound.h"
 
 #include <algorithm>
 
-#include "lighter/frame.h"
+#include "sidecar/frame.h"
 
-namespace pebblespindle::lighter {
+namespace pebblespindle::sidecar {
 using namespace constants;
 
 void Inbound::database(std::optional<Instance> i) {
@@ -340,4 +340,4 @@
   for (auto id : waiting) end_job(id);
 }
 
-}  // namespace pebblespindle::lighter
+}  // namespace pebblespindle::sidecar
--- a/src/lighter/inbound.h
+++ b/src/sidecar/inbound.h
@@ -1,4 +1,4 @@
-// The half of a lighter beside a database, through which alone requests come to it. So it knows exactly what
+// The half of a sidecar beside a database, through which alone requests come to it. So it knows exactly what
 // runs there: it keeps the queue, never gives the database more than its slots, refuses early and truly, and
 // judges it by every result. No I/O.
 #pragma once
@@ -6,12 +6,12 @@
 #include <optional>
 #include <set>
 
-#include "keel/constants.h"
-#include "keel/timers.h"
-#include "lighter/call.h"
-#include "ordinance/records.h"
+#include "base/constants.h"
+#include "config/records.h"
+#include "net/timer_queue.h"
+#include "sidecar/call.h"
 
-namespace pebblespindle::lighter {
+namespace pebblespindle::sidecar {
 
 class InPort {
  public:
@@ -24,7 +24,7 @@
 
 class Inbound {
  public:
-  Inbound(InPort& port, Timers& timers) : port_(port), timers_(timers) {}
+  Inbound(InPort& port, TimerQueue& timers) : port_(port), timers_(timers) {}
   void set_time(Millis now) { now_ = now; }
 
   // The database that is here now; none once it has ended.
@@ -55,14 +55,14 @@
     bool alone = false;  // on a connection of its own: a late answer there could be taken for its own
     std::string caller;
     ConnId conn = 0;
-    Timers::Id timer = 0;
+    TimerQueue::Id timer = 0;
   };
   struct Server {
     InstanceId life;  // the database it was opened to
     bool up = false, used = false;
     std::uint64_t job = 0;  // 0: idle
     Millis idle_since = 0, keep_ms = 0;
-    Timers::Id timer = 0;
+    TimerQueue::Id timer = 0;
   };
   using Rank = std::pair<Millis, std::uint64_t>;  // when it is due, job
   static Rank rank(std::uint64_t id, const Job& j) { return {j.due, id}; }
@@ -86,7 +86,7 @@
   ConnId idle_server(bool safe);
 
   InPort& port_;
-  Timers& timers_;
+  TimerQueue& timers_;
   Millis now_ = 0;
   std::optional<Instance> here_;
   std::map<std::uint64_t, Job> jobs_;
@@ -101,4 +101,4 @@
   Millis trial_at_ = 0, idle_most_ = constants::kIdleUnknownMs;
 };
 
-}  // namespace pebblespindle::lighter
+}  // namespace pebblespindle::sidecar
--- a/src/lighter/beats.h
+++ b/src/sidecar/instance_heartbeats.h
@@ -1,21 +1,21 @@
-// Beats of the database beside that the core has not answered yet. Each answer goes to the call it answers: a
-// beat is known by its number, which rises; an end has a number of its own, so that no beat's answer is taken
-// for its acknowledgement. No I/O.
+// InstanceHeartbeats of the database beside that the core has not answered yet. Each answer goes to the call
+// it answers: a beat is known by its number, which rises; an end has a number of its own, so that no beat's
+// answer is taken for its acknowledgement. No I/O.
 #pragma once
 #include <functional>
 #include <limits>
 #include <map>
 
-#include "keel/constants.h"
-#include "keel/timers.h"
+#include "base/constants.h"
+#include "net/timer_queue.h"
 
-namespace pebblespindle::lighter {
+namespace pebblespindle::sidecar {
 
-class Beats {
+class InstanceHeartbeats {
  public:
   static constexpr std::uint64_t kEnd = std::numeric_limits<std::uint64_t>::max();
   using Done = std::function<void(int status)>;
-  explicit Beats(Timers& timers) : timers_(timers) {}
+  explicit InstanceHeartbeats(TimerQueue& timers) : timers_(timers) {}
   void ask(Millis now, const InstanceId& id, std::uint64_t number, Done done) {
     answered(id, number, 503);  // the same again: the former caller has gone on
     waiting_[{id, number}] = {std::move(done), timers_.at(now + constants::kBeatAnswerMs,
@@ -33,10 +33,10 @@
  private:
   struct Asked {
     Done done;
-    Timers::Id timer = 0;
+    TimerQueue::Id timer = 0;
   };
-  Timers& timers_;
+  TimerQueue& timers_;
   std::map<std::pair<InstanceId, std::uint64_t>, Asked> waiting_;
 };
 
-}  // namespace pebblespindle::lighter
+}  // namespace pebblespindle::sidecar
--- a/src/lighter/outbound.cc
+++ b/src/sidecar/outbound.cc
@@ -1,11 +1,11 @@
-#include "lighter/outbound.h"
+#include "sidecar/outbound.h"
 
 #include <charconv>
 #include <cmath>
 
-#include "lighter/frame.h"
+#include "sidecar/frame.h"
 
-namespace pebblespindle::lighter {
+namespace pebblespindle::sidecar {
 using namespace constants;
 
 namespace {
@@ -21,10 +21,10 @@
 
 }  // namespace
 
-Outbound::Outbound(OutPort& port, Timers& timers, const Chart& chart, Terms terms)
+Outbound::Outbound(OutPort& port, TimerQueue& timers, const ClusterState& cluster, Terms terms)
     : port_(port),
       timers_(timers),
-      chart_(chart),
+      cluster_(cluster),
       terms_(std::move(terms)),
       budget_(terms_.retry_ratio, terms_.retry_window_ms),
       rng_(terms_.seed) {}
@@ -45,11 +45,11 @@
 }
 
 void Outbound::call(CallId id, Call c) {
-  if (!chart_.fed()) return port_.answer(id, own_reply(503, kNodeRenewMs));
+  if (!cluster_.fed()) return port_.answer(id, own_reply(503, kNodeRenewMs));
   const std::string* host = find_field(c.fields, "Host");
   if (!host || c.target.empty() || c.target.front() != '/') return port_.answer(id, own_reply(400));
   auto path = std::string_view(c.target).substr(0, c.target.find('?'));
-  auto route = chart_.route(host->substr(0, host->find(':')), path);
+  auto route = cluster_.route(host->substr(0, host->find(':')), path);
   // A node without news cannot tell a route that is missing from one it has not heard of.
   if (!route) return port_.answer(id, sure_ ? own_reply(404) : own_reply(503, kNodeRenewMs));
   Work& w = works_[id];
@@ -103,7 +103,7 @@
 // The least loaded of a few at home and a few elsewhere: few, so that not all nodes choose the same.
 const Instance* Outbound::choose(const Work& w, bool full_too) {
   std::vector<const Instance*> home, away;
-  for (auto* i : chart_.of(w.service)) {
+  for (auto* i : cluster_.of(w.service)) {
     if (i->draining || w.tried.count(i->id) || (!full_too && w.full.count(i->id))) continue;
     auto& p = peers_[i->id];
     if (now_ < p.away_until) continue;
@@ -322,4 +322,4 @@
   }
 }
 
-}  // namespace pebblespindle::lighter
+}  // namespace pebblespindle::sidecar
--- a/src/lighter/outbound.h
+++ b/src/sidecar/outbound.h
@@ -1,4 +1,4 @@
-// The half of a lighter that takes requests where they begin: finds the route, draws the service, chooses the
+// The half of a sidecar that takes requests where they begin: finds the route, draws the service, chooses the
 // database once, and tries another only when a rule and the budget allow it. No I/O.
 #pragma once
 #include <map>
@@ -6,18 +6,18 @@
 #include <random>
 #include <set>
 
-#include "keel/timers.h"
-#include "lighter/budget.h"
-#include "lighter/call.h"
-#include "ordinance/chart.h"
+#include "config/cluster_state.h"
+#include "net/timer_queue.h"
+#include "sidecar/call.h"
+#include "sidecar/retry_budget.h"
 
-namespace pebblespindle::lighter {
+namespace pebblespindle::sidecar {
 
 class OutPort {
  public:
   virtual ~OutPort() = default;
   virtual void answer(CallId, Reply) = 0;
-  // To the lighter at that address; this machine's own half is one of them.
+  // To the sidecar at that address; this machine's own half is one of them.
   virtual void offer(const Endpoint&, const Json& frame) = 0;
   // Nobody waits for offer `n` any more. True: it had not left, and will not.
   virtual bool withdraw(const Endpoint&, std::uint64_t n) = 0;
@@ -31,19 +31,19 @@
     Millis retry_window_ms = 10000;
     std::uint32_t seed = 1;
   };
-  Outbound(OutPort& port, Timers& timers, const Chart& chart, Terms terms);
+  Outbound(OutPort& port, TimerQueue& timers, const ClusterState& cluster, Terms terms);
 
   void set_time(Millis now) { now_ = now; }
   void fleet(std::size_t members) {
     budget_.set_slack(terms_.retry_slack / double(std::max<std::size_t>(1, members)));
   }
-  // Whether the chart is known to be the newest: what it does not name does not exist.
+  // Whether the cluster is known to be the newest: what it does not name does not exist.
   void sure(bool yes) { sure_ = yes; }
 
   void call(CallId id, Call c);
   void client_gone(CallId id);
   void frame(const Endpoint& from, const Json& m);
-  // The link to a lighter has ended; `sent`: what was offered may have arrived.
+  // The link to a sidecar has ended; `sent`: what was offered may have arrived.
   void link_down(const Endpoint& at, bool sent);
   std::size_t open_calls() const { return works_.size(); }
 
@@ -64,7 +64,7 @@
     bool counted = false;          // as a first try, for the budget
     std::set<InstanceId> tried, full;
     std::set<std::uint64_t> open;  // attempts without an outcome
-    Timers::Id timer = 0, hedge = 0;
+    TimerQueue::Id timer = 0, hedge = 0;
   };
   struct Peer {  // what is known of a database
     double told = 0;
@@ -95,10 +95,10 @@
   std::string draw(const Route& r);
 
   OutPort& port_;
-  Timers& timers_;
-  const Chart& chart_;
+  TimerQueue& timers_;
+  const ClusterState& cluster_;
   Terms terms_;
-  Budget budget_;
+  RetryBudget budget_;
   std::mt19937 rng_;
   Millis now_ = 0;
   bool sure_ = false;
@@ -109,4 +109,4 @@
   std::uint64_t last_attempt_ = 0;
 };
 
-}  // namespace pebblespindle::lighter
+}  // namespace pebblespindle::sidecar
--- a/src/lighter/pipeline.cc
+++ b/src/sidecar/pipeline.cc
@@ -1,10 +1,10 @@
-#include "lighter/pipeline.h"
+#include "sidecar/pipeline.h"
 
 #include <algorithm>
 
-#include "keel/constants.h"
+#include "base/constants.h"
 
-namespace pebblespindle::lighter {
+namespace pebblespindle::sidecar {
 using namespace constants;
 
 Pipeline::Pipeline(const Limits& l)
@@ -99,4 +99,4 @@
   return ids;
 }
 
-}  // namespace pebblespindle::lighter
+}  // namespace pebblespindle::sidecar
--- a/src/lighter/pipeline.h
+++ b/src/sidecar/pipeline.h
@@ -3,10 +3,10 @@
 #pragma once
 #include <deque>
 
-#include "lighter/call.h"
-#include "ordinance/records.h"
+#include "config/records.h"
+#include "sidecar/call.h"
 
-namespace pebblespindle::lighter {
+namespace pebblespindle::sidecar {
 
 class Pipeline {
  public:
@@ -48,4 +48,4 @@
   bool closing_ = false, leaving_ = false;
 };
 
-}  // namespace pebblespindle::lighter
+}  // namespace pebblespindle::sidecar
--- a/src/lighter/budget.h
+++ b/src/sidecar/retry_budget.h
@@ -6,14 +6,15 @@
 #include <deque>
 #include <utility>
 
-#include "keel/constants.h"
-#include "keel/types.h"
+#include "base/constants.h"
+#include "base/types.h"
 
-namespace pebblespindle::lighter {
+namespace pebblespindle::sidecar {
 
-class Budget {
+class RetryBudget {
  public:
-  Budget(double ratio, Millis window_ms) : ratio_(ratio * constants::kBudgetShare), window_ms_(window_ms) {}
+  RetryBudget(double ratio, Millis window_ms)
+      : ratio_(ratio * constants::kBudgetShare), window_ms_(window_ms) {}
   // Of the fleet's slack, what falls to this node.
   void set_slack(double slack) { slack_ = slack * constants::kBudgetShare; }
   void first(Millis now) {
@@ -55,4 +56,4 @@
   long firsts_ = 0, spent_ = 0;
 };
 
-}  // namespace pebblespindle::lighter
+}  // namespace pebblespindle::sidecar
--- a/src/lighter/lighter.cc
+++ b/src/sidecar/sidecar.cc
@@ -1,29 +1,29 @@
-// The sidecar proxy's process: joins its two halves to sockets, to the tender's feed, and to the beats of the
+// The sidecar proxy's process: joins its two halves to sockets, to the agent's feed, and to the beats of the
 // database beside it.
 #include <csignal>
 
-#include "keel/constants.h"
-#include "keel/feed_link.h"
-#include "keel/http.h"
-#include "keel/log.h"
-#include "keel/loop.h"
-#include "keel/registry.h"
-#include "keel/role.h"
-#include "lighter/beats.h"
-#include "lighter/front.h"
-#include "lighter/inbound.h"
-#include "lighter/outbound.h"
-#include "lighter/quays.h"
+#include "base/constants.h"
+#include "base/log.h"
+#include "cli/command_registry.h"
+#include "net/event_loop.h"
+#include "net/http.h"
+#include "proxy/agent_link.h"
+#include "settings/run_role.h"
+#include "sidecar/client_listener.h"
+#include "sidecar/connections.h"
+#include "sidecar/inbound.h"
+#include "sidecar/instance_heartbeats.h"
+#include "sidecar/outbound.h"
 
 namespace pebblespindle {
 namespace {
 
 using namespace constants;
-using namespace lighter;
+using namespace sidecar;
 
-class Lighter : public OutPort, public InPort {
+class Sidecar : public OutPort, public InPort {
  public:
-  explicit Lighter(Settings s)
+  explicit Sidecar(Settings s)
       : settings_(std::move(s)),
         front_(loop_, {[this](CallId id, Call c) {
                          touch();
@@ -33,7 +33,7 @@
                          touch();
                          out_.client_gone(id);
                        },
-                       [this]() -> const Limits& { return chart_.config().limits; }}),
+                       [this]() -> const Limits& { return cluster_.config().limits; }}),
         links_(loop_, {[this](const Endpoint& from, const Json& m) {
                          touch();
                          out_.frame(from, m);
@@ -64,7 +64,7 @@
                 touch();
                 in_.server_down(id, refused);
               }}),
-        out_(*this, loop_.timers(), chart_,
+        out_(*this, loop_.timers(), cluster_,
              {settings_.zone, settings_.target_service, settings_.retry_ratio, settings_.retry_slack,
               settings_.retry_window_ms, std::random_device{}()}),
         in_(*this, loop_.timers()) {}
@@ -78,21 +78,21 @@
       return refuse("InternalPortRange: wants three ports.");
     auto ready = HttpServer::listen(loop_.io(), listener("Readiness"), [this](HttpRequest r, HttpDone done) {
       if (r.path != "/readiness") return done({404, "", {}});
-      done({chart_.fed() && !leaving_ ? 200 : 503, "", {}});
+      done({cluster_.fed() && !leaving_ ? 200 : 503, "", {}});
     });
     if (!ready) return refuse(ready.reason);
     auto control =
         HttpServer::listen(loop_.io(), listener("ControlPlane"),
                            [this](HttpRequest r, HttpDone done) { on_beat(std::move(r), std::move(done)); });
     if (!control) return refuse(control.reason);
-    if (auto why = links_.listen(settings_.lighter()); !why.empty()) return refuse(why);
+    if (auto why = links_.listen(settings_.sidecar()); !why.empty()) return refuse(why);
     if (auto why = front_.listen(listener("OutboundAddr")); !why.empty()) return refuse(why);
     loop_.on_signal(SIGTERM, [this] { leave(); });
     loop_.on_signal(SIGHUP, [this] {
       auto s = load_settings(settings_path());
       log_.say(s ? "Settings read again." : "Settings not taken: " + s.reason);
     });
-    log_.say("Lighter " + settings_.node_name + " serves beside " + settings_.target_service + ".");
+    log_.say("Sidecar " + settings_.node_name + " serves beside " + settings_.target_service + ".");
     loop_.every(kNodeRenewMs, [this] { renew(); });
     feed_.start();
     loop_.run();
@@ -102,14 +102,14 @@
   // OutPort
   void answer(CallId id, Reply r) override { front_.answer(id, std::move(r)); }
   void offer(const Endpoint& at, const Json& frame) override {
-    if (at != settings_.lighter()) return links_.send(at, frame);
+    if (at != settings_.sidecar()) return links_.send(at, frame);
     asio::post(loop_.io(), [this, frame] {
       on_offer(0, frame);
       loop_.rearm();
     });
   }
   bool withdraw(const Endpoint& at, std::uint64_t n) override {
-    if (at != settings_.lighter()) return links_.withdraw(at, n);
+    if (at != settings_.sidecar()) return links_.withdraw(at, n);
     offer(at, {{"t", "x"}, {"n", n}});
     return false;
   }
@@ -118,7 +118,7 @@
     if (link != 0) return links_.reply(link, frame);
     asio::post(loop_.io(), [this, frame] {
       touch();
-      out_.frame(settings_.lighter(), frame);
+      out_.frame(settings_.sidecar(), frame);
       loop_.rearm();
     });
   }
@@ -134,7 +134,7 @@
   void touch() {
     Millis now = loop_.now();
     out_.set_time(now);
-    out_.sure(now < lease_until_ && chart_.number() >= lease_number_);
+    out_.sure(now < lease_until_ && cluster_.number() >= lease_number_);
     in_.set_time(now);
   }
 
@@ -156,16 +156,16 @@
     if (r.method == "DELETE") {
       if (in_.database() && in_.database()->id == id) in_.database(std::nullopt);
       left_ = id;
-      return tell_core({{"t", "leave"}, {"id", id.value}}, id, Beats::kEnd, std::move(done));
+      return tell_core({{"t", "leave"}, {"id", id.value}}, id, InstanceHeartbeats::kEnd, std::move(done));
     }
     if (r.method != "PUT") return done({404, "", {}});
     auto beat = read_beat(id.value, r.body);
     if (!beat) return done({400, Json{{"ErrorMessage", beat.reason}}.dump(), {}});
     Instance i = *beat.value;
     // Others reach it through here.
-    i.address = settings_.lighter();
+    i.address = settings_.sidecar();
     if (!(left_ == id)) in_.database(i);
-    const Instance* known = chart_.instance(id);
+    const Instance* known = cluster_.instance(id);
     if (known && known->same_but_calls(i) && now_leased()) return done({200, "", {}});
     tell_core({{"t", "beat"}, {"id", id.value}, {"v", i.json().dump()}}, id, i.calls, std::move(done));
   }
@@ -184,7 +184,7 @@
 
   // --- the feed ---------------------------------------------------------------
 
-  void renew() { feed_.send(Json{{"t", "renew"}, {"at", loop_.now()}, {"ack", chart_.number()}}); }
+  void renew() { feed_.send(Json{{"t", "renew"}, {"at", loop_.now()}, {"ack", cluster_.number()}}); }
 
   void on_feed(std::string_view line) {
     Json m = Json::parse(line, nullptr, false);
@@ -193,16 +193,16 @@
     if (t == "up") {
       auto rows = rows_from_json(m["r"]);
       if (!rows) return;
-      bool was = chart_.fed();
+      bool was = cluster_.fed();
       std::uint64_t k = m.value("k", std::uint64_t(0));
-      if (m.value("whole", false)) *rows.value = chart_.changes_to(k, std::move(*rows.value));
-      chart_.apply(k, *rows.value);
-      if (!was && chart_.fed())
-        log_.say("Ready with configuration " + std::to_string(chart_.config().revision) + ".");
+      if (m.value("whole", false)) *rows.value = cluster_.changes_to(k, std::move(*rows.value));
+      cluster_.apply(k, *rows.value);
+      if (!was && cluster_.fed())
+        log_.say("Ready with configuration " + std::to_string(cluster_.config().revision) + ".");
       touch();
       if (!in_.database())  // this process is new, the database is not
-        for (auto& [id, i] : chart_.instances())
-          if (i.address == settings_.lighter() && !(left_ == id)) in_.database(i);
+        for (auto& [id, i] : cluster_.instances())
+          if (i.address == settings_.sidecar() && !(left_ == id)) in_.database(i);
       renew();
     } else if (t == "grant") {
       lease_until_ =
@@ -239,30 +239,30 @@
     loop_.rearm();
   }
 
-  Log log_{"lighter"};
+  Log log_{"sidecar"};
   Settings settings_;
-  Loop loop_;
-  Chart chart_;
-  Front front_;
-  Links links_;
-  AppConns app_;
+  EventLoop loop_;
+  ClusterState cluster_;
+  ClientListener front_;
+  PeerLinks links_;
+  AppConnections app_;
   Outbound out_;
   Inbound in_;
-  FeedLink feed_{
+  AgentLink feed_{
       loop_, settings_.feed(), {[this](std::string_view line) { on_feed(line); }, [this] { renew(); }}};
   InstanceId left_;
-  Beats beats_{loop_.timers()};
+  InstanceHeartbeats beats_{loop_.timers()};
   Millis lease_until_ = 0;
   std::uint64_t lease_number_ = 0;
   bool leaving_ = false;
 };
 
-int run_lighter(const std::string&) {
-  return run_role("lighter", [](Settings s) { return Lighter(std::move(s)).run(); });
+int run_sidecar() {
+  return run_role("sidecar", [](Settings s) { return Sidecar(std::move(s)).run(); });
 }
 
-RegisterCommand lighter_command("lighter",
-                                {"carries the requests of the service on its machine", "", run_lighter});
+const RegisterCommand kSidecarCommand("sidecar", "carries the requests of the service on its machine",
+                                      run_sidecar);
 
 }  // namespace
 }  // namespace pebblespindle
--- a/src/wire/wire.cc
+++ b/src/sql_protocol/sql_protocol.cc
@@ -1,8 +1,8 @@
-#include "wire/wire.h"
+#include "sql_protocol/sql_protocol.h"
 
 #include <charconv>
 
-namespace pebblespindle::wire {
+namespace pebblespindle::sql_protocol {
 
 std::string_view take(std::string_view& line) {
   auto start = line.find_first_not_of(' ');
@@ -112,4 +112,4 @@
   return i;
 }
 
-}  // namespace pebblespindle::wire
+}  // namespace pebblespindle::sql_protocol
--- a/src/wire/wire.h
+++ b/src/sql_protocol/sql_protocol.h
@@ -4,9 +4,9 @@
 #include <string_view>
 #include <vector>
 
-#include "keel/types.h"
+#include "base/types.h"
 
-namespace pebblespindle::wire {
+namespace pebblespindle::sql_protocol {
 
 // Takes the next blank-separated field off the front of a line.
 std::string_view take(std::string_view& line);
@@ -55,4 +55,4 @@
 };
 std::optional<Info> parse_info(std::string_view row);
 
-}  // namespace pebblespindle::wire
+}  // namespace pebblespindle::sql_protocol
--- a/src/ledger/sqlite_disk.cc
+++ b/src/storage/sqlite_store.cc
@@ -1,4 +1,4 @@
-#include "ledger/sqlite_disk.h"
+#include "storage/sqlite_store.h"
 
 #include <fcntl.h>
 #include <sqlite3.h>
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-int SqliteDisk::connect() {
+int SqliteStore::connect() {
   sqlite3_close(db_);
   db_ = nullptr;
   int rc = sqlite3_open_v2(path_.c_str(), &db_, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE, vfs_);
@@ -65,10 +65,10 @@
   return SQLITE_OK;
 }
 
-Outcome<std::unique_ptr<SqliteDisk>> SqliteDisk::open(const std::string& path, const char* vfs,
-                                                      bool* damaged) {
-  using Out = Outcome<std::unique_ptr<SqliteDisk>>;
-  std::unique_ptr<SqliteDisk> disk(new SqliteDisk(path, vfs));
+Outcome<std::unique_ptr<SqliteStore>> SqliteStore::open(const std::string& path, const char* vfs,
+                                                        bool* damaged) {
+  using Out = Outcome<std::unique_ptr<SqliteStore>>;
+  std::unique_ptr<SqliteStore> disk(new SqliteStore(path, vfs));
   int rc = disk->connect();
   if (rc == SQLITE_OK) return Out::ok(std::move(disk));
   bool bad = rc == SQLITE_CORRUPT || rc == SQLITE_NOTADB;
@@ -76,7 +76,7 @@
   return Out::fail(path + ": " + (bad ? "the file is damaged" : sqlite3_errstr(rc)));
 }
 
-bool SqliteDisk::reopen() {
+bool SqliteStore::reopen() {
   // A write that changes a whole page shows that the disk takes writes again.
   return connect() == SQLITE_OK && run("INSERT OR REPLACE INTO meta VALUES('trial',hex(randomblob(2000)))");
 }
@@ -110,7 +110,7 @@
 
 // All that the chain stores goes in one batch with its meta, so each of these stands for a file that was put
 // together from several.
-std::string SqliteDisk::contradiction() {
+std::string SqliteStore::contradiction() {
   std::uint64_t highest = 0, count = 0;
   Prepared q(db_, "SELECT count(*), coalesce(max(number),0) FROM rows");
   if (q.row()) count = q.column_number(0), highest = q.column_number(1);
@@ -126,28 +126,28 @@
   return {};
 }
 
-Outcome<std::unique_ptr<SqliteDisk>> open_ledger(const std::string& directory,
+Outcome<std::unique_ptr<SqliteStore>> open_store(const std::string& directory,
                                                  const std::function<void(const std::string&)>& note) {
-  return open_ledger(directory, Folder::of(directory), nullptr, note);
+  return open_store(directory, Folder::of(directory), nullptr, note);
 }
 
-Outcome<std::unique_ptr<SqliteDisk>> open_ledger(const std::string& directory, const Folder& folder,
+Outcome<std::unique_ptr<SqliteStore>> open_store(const std::string& directory, const Folder& folder,
                                                  const char* vfs,
                                                  const std::function<void(const std::string&)>& note) {
-  using Out = Outcome<std::unique_ptr<SqliteDisk>>;
+  using Out = Outcome<std::unique_ptr<SqliteStore>>;
   const std::string path = directory + "/ledger.db", journal = path + "-journal";
   // The name of a new file lasts once its folder is synced: before anything is promised that rests on it.
   auto open_new = [&] {
     // A journal without its database was left by a file that is gone.
     if (folder.exists(journal) && !(folder.remove(journal) && folder.sync()))
       return Out::fail(path + ": the journal of another file cannot be removed");
-    auto disk = SqliteDisk::open(path, vfs);
+    auto disk = SqliteStore::open(path, vfs);
     if (disk && !folder.sync()) return Out::fail(path + ": the folder cannot be synced");
     return disk;
   };
   if (!folder.exists(path)) return open_new();
   bool damaged = false;
-  auto disk = SqliteDisk::open(path, vfs, &damaged);
+  auto disk = SqliteStore::open(path, vfs, &damaged);
   if (!disk && !damaged) return disk;
   std::string reason = disk.reason;
   if (disk) {
@@ -165,15 +165,15 @@
   return open_new();
 }
 
-SqliteDisk::~SqliteDisk() {
+SqliteStore::~SqliteStore() {
   sqlite3_close(db_);
 }
 
-bool SqliteDisk::run(const std::string& sql) {
+bool SqliteStore::run(const std::string& sql) {
   return sqlite3_exec(db_, sql.c_str(), nullptr, nullptr, nullptr) == SQLITE_OK;
 }
 
-bool SqliteDisk::put(const char* sql, const std::vector<Row>& rows) {
+bool SqliteStore::put(const char* sql, const std::vector<Row>& rows) {
   if (rows.empty()) return true;
   Prepared put(db_, sql);
   for (auto& r : rows) {
@@ -187,7 +187,7 @@
 }
 
 // Exchanging the tables costs the same for a state of any size.
-bool SqliteDisk::promote(Batch::Promote how) {
+bool SqliteStore::promote(Batch::Promote how) {
   if (how == Batch::Promote::kReplace)
     return run("DROP TABLE rows") && run("ALTER TABLE staged RENAME TO rows") &&
            run("CREATE TABLE staged" + kRowColumns);
@@ -196,7 +196,7 @@
   return true;
 }
 
-bool SqliteDisk::commit(const Batch& b) {
+bool SqliteStore::commit(const Batch& b) {
   if (!run("BEGIN")) return false;
   bool good = !b.clear_staged || run("DELETE FROM staged");
   good = good && put("INSERT OR REPLACE INTO staged VALUES(?,?,?,?)", b.staged) && promote(b.promote);
@@ -219,22 +219,22 @@
   return false;
 }
 
-std::vector<Row> SqliteDisk::read(const char* sql) {
+std::vector<Row> SqliteStore::read(const char* sql) {
   std::vector<Row> out;
   Prepared q(db_, sql);
   while (q.row()) out.push_back({q.column(0), q.column(1), q.column_number(2), q.column_number(3) != 0});
   return out;
 }
 
-std::vector<Row> SqliteDisk::rows() {
+std::vector<Row> SqliteStore::rows() {
   return read("SELECT key, value, number, gone FROM rows");
 }
 
-std::vector<Row> SqliteDisk::staged() {
+std::vector<Row> SqliteStore::staged() {
   return read("SELECT key, value, number, gone FROM staged");
 }
 
-std::map<std::string, std::string> SqliteDisk::meta() {
+std::map<std::string, std::string> SqliteStore::meta() {
   std::map<std::string, std::string> out;
   Prepared q(db_, "SELECT key, value FROM meta");
   while (q.row()) out[q.column(0)] = q.column(1);
--- a/src/ledger/sqlite_disk.h
+++ b/src/storage/sqlite_store.h
@@ -1,15 +1,15 @@
-// The ledger's disk on SQLite: one connection, exclusive, synced at every commit.
+// The state's disk on SQLite: one connection, exclusive, synced at every commit.
 #pragma once
 #include <functional>
 #include <memory>
 
-#include "ledger/ledger.h"
+#include "storage/state_table.h"
 
 struct sqlite3;
 
 namespace pebblespindle {
 
-// The names in the ledger's folder. Made, changed and removed ones last once sync() has said so.
+// The names in the state's folder. Made, changed and removed ones last once sync() has said so.
 struct Folder {
   std::function<bool(const std::string& path)> exists;
   std::function<bool(const std::string& from, const std::string& to)> rename;
@@ -18,13 +18,13 @@
   static Folder of(const std::string& directory);  // on the machine's own file system
 };
 
-class SqliteDisk : public Disk {
+class SqliteStore : public Disk {
  public:
   // vfs: the name of an SQLite VFS, for tests that lose power; null for the system's own.
   // A file that is damaged fails with `damaged` set; other failures may pass.
-  static Outcome<std::unique_ptr<SqliteDisk>> open(const std::string& path, const char* vfs = nullptr,
-                                                   bool* damaged = nullptr);
-  ~SqliteDisk() override;
+  static Outcome<std::unique_ptr<SqliteStore>> open(const std::string& path, const char* vfs = nullptr,
+                                                    bool* damaged = nullptr);
+  ~SqliteStore() override;
   bool commit(const Batch& batch) override;
   bool reopen() override;
   // Why rows and meta cannot be of one history; empty when they can.
@@ -34,7 +34,7 @@
   std::map<std::string, std::string> meta() override;
 
  private:
-  SqliteDisk(std::string path, const char* vfs) : path_(std::move(path)), vfs_(vfs) {}
+  SqliteStore(std::string path, const char* vfs) : path_(std::move(path)), vfs_(vfs) {}
   int connect();  // an SQLite code
   bool run(const std::string& sql);
   bool put(const char* sql, const std::vector<Row>& rows);
@@ -45,11 +45,11 @@
   sqlite3* db_ = nullptr;
 };
 
-// Opens the ledger in a directory. A file that is damaged or contradicts itself is set aside under another
+// Opens the state in a directory. A file that is damaged or contradicts itself is set aside under another
 // name and not used: the core is a newcomer.
-Outcome<std::unique_ptr<SqliteDisk>> open_ledger(const std::string& directory,
+Outcome<std::unique_ptr<SqliteStore>> open_store(const std::string& directory,
                                                  const std::function<void(const std::string&)>& note);
-Outcome<std::unique_ptr<SqliteDisk>> open_ledger(const std::string& directory, const Folder& folder,
+Outcome<std::unique_ptr<SqliteStore>> open_store(const std::string& directory, const Folder& folder,
                                                  const char* vfs,
                                                  const std::function<void(const std::string&)>& note);
 
--- a/src/ledger/ledger.cc
+++ b/src/storage/state_table.cc
@@ -1,8 +1,8 @@
-#include "ledger/ledger.h"
+#include "storage/state_table.h"
 
 #include <algorithm>
 
-#include "keel/constants.h"
+#include "base/constants.h"
 
 namespace pebblespindle {
 
@@ -30,17 +30,17 @@
   return Out::ok(std::move(rows));
 }
 
-const Row* Ledger::find_any(const std::string& key) const {
+const Row* StateTable::find_any(const std::string& key) const {
   auto it = rows_.find(key);
   return it == rows_.end() ? nullptr : &it->second;
 }
 
-const Row* Ledger::find(const std::string& key) const {
+const Row* StateTable::find(const std::string& key) const {
   const Row* r = find_any(key);
   return r && !r->gone ? r : nullptr;
 }
 
-void Ledger::put(const Row& row) {
+void StateTable::put(const Row& row) {
   auto [it, fresh] = rows_.try_emplace(row.key, row);
   if (!fresh) {
     order_.erase({it->second.number, it->first});
@@ -52,7 +52,7 @@
 }
 
 // The order by number points into the rows: a copy has its own.
-Ledger& Ledger::operator=(const Ledger& other) {
+StateTable& StateTable::operator=(const StateTable& other) {
   if (this == &other) return *this;
   rows_ = other.rows_;
   order_.clear();
@@ -64,14 +64,14 @@
   return *this;
 }
 
-void Ledger::clear() {
+void StateTable::clear() {
   order_.clear();
   rows_.clear();
   stored_ = trimmed_ = 0;
   ++lives_;
 }
 
-void Ledger::take(Ledger& other) {
+void StateTable::take(StateTable& other) {
   clear();
   rows_.swap(other.rows_);
   order_.swap(other.order_);
@@ -81,14 +81,14 @@
   other.clear();
 }
 
-std::vector<Row> Ledger::since(std::uint64_t number) const {
+std::vector<Row> StateTable::since(std::uint64_t number) const {
   std::vector<Row> out;
   for (auto it = order_.lower_bound({number + 1, {}}); it != order_.end(); ++it)
     out.push_back(rows_.find(std::string(it->second))->second);
   return out;
 }
 
-void Ledger::trim(std::uint64_t number) {
+void StateTable::trim(std::uint64_t number) {
   trimmed_ = std::max(trimmed_, number);
   for (auto it = order_.begin(); it != order_.end() && it->first <= number;) {
     auto row = rows_.find(std::string(it->second));
@@ -105,7 +105,7 @@
 
 }  // namespace
 
-Ledger::Walk Ledger::by_key(const std::string& after, std::size_t bytes) const {
+StateTable::Walk StateTable::by_key(const std::string& after, std::size_t bytes) const {
   Walk w;
   std::size_t sum = 0;
   auto it = rows_.upper_bound(after);
@@ -117,7 +117,7 @@
   return w;
 }
 
-Ledger::Walk Ledger::by_number(const Place& after, std::size_t bytes) const {
+StateTable::Walk StateTable::by_number(const Place& after, std::size_t bytes) const {
   Walk w;
   std::size_t sum = 0;
   auto it = order_.upper_bound({after.number, after.key});
--- a/src/ledger/ledger.h
+++ b/src/storage/state_table.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "keel/schema.h"
+#include "base/json_schema.h"
 
 namespace pebblespindle {
 
@@ -19,19 +19,19 @@
 Json rows_to_json(const std::vector<Row>& rows);
 Outcome<std::vector<Row>> rows_from_json(const Json& j);
 
-class Ledger {
+class StateTable {
  public:
-  Ledger() = default;
-  Ledger(Ledger&&) = default;
-  Ledger& operator=(Ledger&&) = default;
-  Ledger(const Ledger& other) { *this = other; }
-  Ledger& operator=(const Ledger& other);
+  StateTable() = default;
+  StateTable(StateTable&&) = default;
+  StateTable& operator=(StateTable&&) = default;
+  StateTable(const StateTable& other) { *this = other; }
+  StateTable& operator=(const StateTable& other);
   const Row* find(const std::string& key) const;  // null when absent or gone
   const Row* find_any(const std::string& key) const;
   void put(const Row& row);
   void clear();
-  // What another ledger holds, which is empty afterwards, instead of what is held.
-  void take(Ledger& other);
+  // What another state holds, which is empty afterwards, instead of what is held.
+  void take(StateTable& other);
   std::size_t size() const { return rows_.size(); }  // gone rows too
   std::uint64_t stored() const { return stored_; }
   void set_stored(std::uint64_t n) { stored_ = n; }
--- a/tests/relay_test.cc
+++ b/tests/agent/relay_test.cc
@@ -1,10 +1,10 @@
-// The tender between a proxy and its core: links, lives, and pieces of a feed.
-#include "tender/relay.h"
+// The agent between a proxy and its core: links, lives, and pieces of a feed.
+#include "agent/relay.h"
 
 #include <gtest/gtest.h>
 
-#include "ordinance/chart.h"
-#include "ordinance/ordinance.h"
+#include "config/cluster_state.h"
+#include "config/update_validation.h"
 
 namespace pebblespindle::test {
 namespace {
@@ -111,11 +111,11 @@
   EXPECT_EQ(keys(m.proxy[0]), (std::set<std::string>{"g", "h"})) << "what was torn has left something behind";
 }
 
-// Hundreds of changes, a tender that starts anew, and a core that is behind what the proxy holds: the proxy
+// Hundreds of changes, an agent that starts anew, and a core that is behind what the proxy holds: the proxy
 // does not go back, and then holds exactly what the core does.
 TEST(Relay, ARestartAtACoreThatIsBehindDoesNotGoBack) {
-  Ledger ahead, behind;
-  auto put = [](Ledger& l, std::uint64_t n) {
+  StateTable ahead, behind;
+  auto put = [](StateTable& l, std::uint64_t n) {
     Instance i{{"i-" + std::to_string(n % 90)},
                "s",
                "z",
@@ -132,19 +132,19 @@
     put(ahead, n);
     if (n <= 520) put(behind, n);
   }
-  Chart chart;
+  ClusterState cluster;
   auto m = std::make_unique<Machine>();
   std::size_t seen = 0;
-  auto feed = [&](const Ledger& core) {
+  auto feed = [&](const StateTable& core) {
     for (auto& line : feed_lines(m->relay.number(), core.stored(), core.since(m->relay.number()))) {
       m->relay.core_line(std::string_view(line).substr(0, line.size() - 1));
       for (; seen < m->proxy.size(); ++seen) {
         Json u = Json::parse(m->proxy[seen]);
         auto rows = *rows_from_json(u["r"]).value;
-        std::uint64_t before = chart.number();
-        if (u.value("whole", false)) rows = chart.changes_to(u["k"], std::move(rows));
-        chart.apply(u["k"], rows);
-        EXPECT_GE(chart.number(), before);
+        std::uint64_t before = cluster.number();
+        if (u.value("whole", false)) rows = cluster.changes_to(u["k"], std::move(rows));
+        cluster.apply(u["k"], rows);
+        EXPECT_GE(cluster.number(), before);
       }
     }
   };
@@ -154,29 +154,29 @@
     m->relay.core_up();
     m->relay.proxy_up();
   };
-  auto same = [&](const Ledger& core) {
+  auto same = [&](const StateTable& core) {
     std::set<InstanceId> wanted, held;
     core.each("i/", [&](const Row& r) { wanted.insert({r.key.substr(2)}); });
-    for (auto& [id, i] : chart.instances()) held.insert(id);
+    for (auto& [id, i] : cluster.instances()) held.insert(id);
     EXPECT_EQ(held, wanted);
-    for (auto& [id, i] : chart.instances())
+    for (auto& [id, i] : cluster.instances())
       EXPECT_EQ(i.calls, Instance::from(id, core.find(instance_key(id))->value)->calls);
   };
   start();
   feed(ahead);
-  EXPECT_EQ(chart.number(), 700u);
+  EXPECT_EQ(cluster.number(), 700u);
   same(ahead);
   start();
   feed(behind);  // a whole state of 520
   EXPECT_EQ(m->relay.number(), 520u);
-  EXPECT_EQ(chart.number(), 700u);
+  EXPECT_EQ(cluster.number(), 700u);
   same(ahead);
   for (std::uint64_t n = 521; n <= 1100; ++n) {
     put(behind, n);
     if (n <= 700 ? n % 40 == 0 : n % 25 == 0) feed(behind);
   }
   feed(behind);
-  EXPECT_EQ(chart.number(), 1100u);
+  EXPECT_EQ(cluster.number(), 1100u);
   same(behind);
 }
 
--- a/tests/delivery_test.cc
+++ b/tests/config/config_delivery_test.cc
@@ -1,23 +1,23 @@
-// The whole way of a configuration: operators that race and repeat themselves, cores, tenders and proxies as
+// The whole way of a configuration: operators that race and repeat themselves, cores, agents and proxies as
 // the same code on a simulated network, single processes killed at any moment. After each step CONFIG is
 // checked.
-#include "ordinance/delivery.h"
+#include "config/config_delivery.h"
 
 #include <gtest/gtest.h>
 
 #include <memory>
 
-#include "chain/node.h"
-#include "keel/constants.h"
-#include "ordinance/chart.h"
-#include "ordinance/ordinance.h"
-#include "sim_net.h"
-#include "tender/hold.h"
+#include "agent/state_cache.h"
+#include "base/constants.h"
+#include "config/cluster_state.h"
+#include "config/update_validation.h"
+#include "replication/replica.h"
+#include "replication/simulated_network.h"
 
 namespace pebblespindle::test {
 namespace {
 
-using chain::Node;
+using replication::Node;
 
 std::string body_of(std::uint64_t revision, std::uint64_t salt, int routes) {
   Json c{{"Revision", revision}, {"Routes", Json::array()}, {"Services", {{{"Name", "s"}}}}};
@@ -32,7 +32,7 @@
 
 struct Way;
 
-struct Core : chain::Outlet {
+struct Core : replication::Outlet {
   Way& way;
   std::string host;
   MemoryDisk disk;
@@ -42,31 +42,31 @@
     std::uint64_t epoch = 0;
     Delivery delivery;
   };
-  std::map<std::string, Link> links;  // by tender
+  std::map<std::string, Link> links;  // by agent
   Core(Way& w, std::string h) : way(w), host(std::move(h)) {}
   void send(const std::string& to, const Json& m) override;
-  chain::Verdict judge(const Ledger& l, const Json& u) override { return judge_update(l, u); }
+  replication::Verdict judge(const StateTable& l, const Json& u) override { return judge_update(l, u); }
   void committed(std::uint64_t) override { feed(); }
   void note(const std::string&) override {}
   void feed();
 };
 
-// A machine: the tender's hold and the proxy's chart, each with a life of its own.
+// A machine: the agent's hold and the proxy's cluster, each with a life of its own.
 struct Machine {
   std::string name, core;
   std::uint64_t epoch = 0;
-  Hold hold;
-  Chart chart;
+  StateCache hold;
+  ClusterState cluster;
   std::uint64_t revision = 0;  // the newest seen in this life of the proxy
-  bool fed = false;            // the proxy's link to the tender is up
+  bool fed = false;            // the proxy's link to the agent is up
   std::uint64_t checked = 0;
   void hand_on(const std::string& line) {
     if (!fed || line.empty()) return;
     Json m = Json::parse(line);
     auto rows = *rows_from_json(m["r"]).value;
     std::uint64_t k = m["k"];
-    if (m.value("whole", false)) rows = chart.changes_to(k, std::move(rows));
-    chart.apply(k, rows);
+    if (m.value("whole", false)) rows = cluster.changes_to(k, std::move(rows));
+    cluster.apply(k, rows);
   }
 };
 
@@ -112,7 +112,7 @@
       x.hand_on(taken.hand_on);
     }
   }
-  // The tender turns to a core that has a place, with a new link.
+  // The agent turns to a core that has a place, with a new link.
   void link(Machine& x) {
     auto& host = hosts[std::size_t(net.pick(int(hosts.size())))];
     auto& c = cores[host];
@@ -124,16 +124,16 @@
   }
   void check() {
     for (auto& x : machines) {
-      if (!x.chart.fed() || x.chart.number() == x.checked) continue;
-      x.checked = x.chart.number();
-      const std::uint64_t r = x.chart.config().revision;
+      if (!x.cluster.fed() || x.cluster.number() == x.checked) continue;
+      x.checked = x.cluster.number();
+      const std::uint64_t r = x.cluster.config().revision;
       ASSERT_GE(r, x.revision) << x.name << " goes back";
       x.revision = r;
       ASSERT_TRUE(bodies.count(r));
       auto wanted = read_configuration(bodies[r]);
       std::size_t held = 0;
       for (int i = 0; i < 40; ++i) {
-        auto route = x.chart.route("h" + std::to_string(i));
+        auto route = x.cluster.route("h" + std::to_string(i));
         auto w = std::find_if(wanted.value->routes.begin(), wanted.value->routes.end(),
                               [&](auto& e) { return e.second.hostname == "h" + std::to_string(i); });
         ASSERT_EQ(bool(route), w != wanted.value->routes.end())
@@ -169,12 +169,12 @@
 };
 
 void Core::send(const std::string& to, const Json& m) {
-  way.net.send(node ? node->self() : host, chain::host_of(to), m);
+  way.net.send(node ? node->self() : host, replication::host_of(to), m);
 }
 void Core::feed() {
   if (!node) return;
   for (auto& [name, l] : links)
-    l.delivery.go_on(node->ledger(), node->committed(), node->settled(), news,
+    l.delivery.go_on(node->state(), node->committed(), node->settled(), news,
                      [&, name = name, epoch = l.epoch](const std::string& line) {
                        way.net.send(host, name, {{"e", epoch}, {"line", line}});
                      });
@@ -199,7 +199,7 @@
     o.next = w.net.now + 400 + w.net.pick(900);
     if (!c->node) return;
     c->node->submit(w.net.now, config_update(o.base, w.bodies[o.revision]),
-                    [&o, rev = o.revision](chain::Answer a) {
+                    [&o, rev = o.revision](replication::Answer a) {
                       if (o.revision == rev && !o.done && a.status != 0) o.done = true, o.status = a.status;
                     });
   };
@@ -218,7 +218,7 @@
         o.revision = 0;
       }
       if (!o.revision && w.net.chance(0.3)) {
-        for (auto& m : w.machines) newest = std::max(newest, m.chart.config().revision);
+        for (auto& m : w.machines) newest = std::max(newest, m.cluster.config().revision);
         o = {newest, top += 1 + std::uint64_t(w.net.pick(3)), false, 0, 0};
         w.bodies[o.revision] =
             body_of(o.revision, o.revision * 7, w.net.chance(0.2) ? 30 : 3 + w.net.pick(9));
@@ -228,14 +228,14 @@
     auto& m = w.machines[std::size_t(w.net.pick(3))];
     auto& host = w.hosts[std::size_t(w.net.pick(5))];
     switch (w.net.pick(14)) {
-      case 0:  // the tender alone is killed: the proxy lives on
-        m.hold = Hold();
+      case 0:  // the agent alone is killed: the proxy lives on
+        m.hold = StateCache();
         m.core.clear();
         ++m.epoch;
         if (m.fed && w.net.chance(0.7)) m.hand_on(m.hold.number() ? m.hold.whole() : "");
         break;
       case 1:  // the proxy alone
-        m.chart = Chart();
+        m.cluster = ClusterState();
         m.revision = m.checked = 0;
         if (m.hold.number()) m.hand_on(m.hold.whole());
         break;
@@ -265,7 +265,7 @@
   w.run(4000);
   for (auto& m : w.machines) {
     if (m.core.empty()) w.link(m);
-    ASSERT_GE(m.chart.config().revision, acked) << m.name << " has not heard of what was acknowledged";
+    ASSERT_GE(m.cluster.config().revision, acked) << m.name << " has not heard of what was acknowledged";
   }
   EXPECT_GT(acked, 20u) << "a day without changes shows nothing";
 }
@@ -277,9 +277,9 @@
   }
 }
 
-// A tender that starts anew is fed from nothing; the proxy that lived on must lose what is gone.
+// An agent that starts anew is fed from nothing; the proxy that lived on must lose what is gone.
 TEST(Delivery, AWholeStateReplacesWhatAProxyHolds) {
-  Ledger core;
+  StateTable core;
   auto offer = [&](const Json& u) {
     auto v = judge_update(core, u);
     std::uint64_t n = core.stored() + 1;
@@ -295,20 +295,20 @@
   Instance i{{"i-1"}, "s", "z", {"10.0.0.1", 1}, 4, false, true, 1};
   offer(instance_update(i));
   feed();
-  ASSERT_TRUE(m.chart.route("h4") && m.chart.instance({"i-1"}));
-  m.hold = Hold();
+  ASSERT_TRUE(m.cluster.route("h4") && m.cluster.instance({"i-1"}));
+  m.hold = StateCache();
   offer(config_update(1, body_of(2, 0, 3)));
   offer(leave_update({"i-1"}));
   feed();
-  EXPECT_FALSE(m.chart.route("h4")) << "a dropped route lives on";
-  EXPECT_TRUE(m.chart.route("h2"));
-  EXPECT_FALSE(m.chart.instance({"i-1"})) << "a database that has left lives on";
-  EXPECT_TRUE(m.chart.of("s").empty());
+  EXPECT_FALSE(m.cluster.route("h4")) << "a dropped route lives on";
+  EXPECT_TRUE(m.cluster.route("h2"));
+  EXPECT_FALSE(m.cluster.instance({"i-1"})) << "a database that has left lives on";
+  EXPECT_TRUE(m.cluster.of("s").empty());
 }
 
 // Taken, replaced, and offered again by one who has not heard: it was taken.
 TEST(Delivery, AConfigurationThatWasReplacedIsStillKnownAsTaken) {
-  Ledger core;
+  StateTable core;
   auto offer = [&](std::uint64_t base, std::uint64_t revision) {
     auto v = judge_update(core, config_update(base, body_of(revision, revision, 2)));
     std::uint64_t n = core.stored() + 1;
@@ -329,7 +329,7 @@
 
 // A piece that comes too late to count is told of all the same: the core waits for that with the next.
 TEST(Delivery, EveryPieceIsToldOf) {
-  Hold h;
+  StateCache h;
   auto up = [&](std::uint64_t k, int left, const char* key) {
     Json m{{"t", "up"}, {"k", k}, {"r", {{key, k, "v"}}}};
     if (left >= 0) m["left"] = left;
--- a/tests/orders_world.h
+++ b/tests/config/update_cluster.h
@@ -5,16 +5,16 @@
 
 #include <memory>
 
-#include "chain/node.h"
-#include "keel/constants.h"
-#include "ordinance/ordinance.h"
-#include "ordinance/taken.h"
-#include "sim_net.h"
+#include "base/constants.h"
+#include "config/applied_changes.h"
+#include "config/update_validation.h"
+#include "replication/replica.h"
+#include "replication/simulated_network.h"
 
 namespace pebblespindle::test::orders {
 
-using chain::Answer;
-using chain::Node;
+using replication::Answer;
+using replication::Node;
 using namespace constants;
 
 inline std::string whole(std::uint64_t revision, std::uint64_t salt, int routes = 1) {
@@ -62,14 +62,14 @@
 
 struct Port;
 
-struct OrderCore : chain::Outlet {
+struct OrderCore : replication::Outlet {
   Port& port;
   std::string host;
   MemoryDisk disk;
   std::unique_ptr<Node> node;
   OrderCore(Port& p, std::string h) : port(p), host(std::move(h)) {}
   void send(const std::string& to, const Json& m) override;
-  chain::Verdict judge(const Ledger& l, const Json& u) override { return judge_update(l, u); }
+  replication::Verdict judge(const StateTable& l, const Json& u) override { return judge_update(l, u); }
   void committed(std::uint64_t) override;
   void note(const std::string&) override {}
 };
@@ -159,7 +159,7 @@
     o.refused = true;
   }
   // The record of a core whose state is committed: one history, each change on the one before it.
-  void look(const Ledger& l) {
+  void look(const StateTable& l) {
     auto top = newest_taken(l);
     if (!top) return;
     for (std::uint64_t n = top->place + 1; n-- > 0;) {
@@ -199,10 +199,10 @@
 };
 
 inline void OrderCore::send(const std::string& to, const Json& m) {
-  port.net.send(node ? node->self() : host, chain::host_of(to), m);
+  port.net.send(node ? node->self() : host, replication::host_of(to), m);
 }
 inline void OrderCore::committed(std::uint64_t) {
-  if (node && node->settled()) port.look(node->ledger());
+  if (node && node->settled()) port.look(node->state());
 }
 
 inline std::string head_of(Port& p) {
--- a/tests/orders_days_test.cc
+++ b/tests/config/update_simulation_test.cc
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <cstdlib>
 
-#include "orders_world.h"
+#include "config/update_cluster.h"
 
 namespace pebblespindle::test::orders {
 namespace {
--- a/tests/orders_test.cc
+++ b/tests/config/update_validation_test.cc
@@ -3,31 +3,31 @@
 
 #include <algorithm>
 
-#include "orders_world.h"
+#include "config/update_cluster.h"
 
 namespace pebblespindle::test::orders {
 namespace {
 
-// A ledger at a head that commits at once.
+// A state at a head that commits at once.
 struct Desk {
-  Ledger ledger;
+  StateTable state;
   int offer(const Order& o) {
-    auto v = judge_update(ledger, o.update());
-    const std::uint64_t n = ledger.stored() + 1;
-    for (auto& r : v.rows) r.number = n, ledger.put(r);
+    auto v = judge_update(state, o.update());
+    const std::uint64_t n = state.stored() + 1;
+    for (auto& r : v.rows) r.number = n, state.put(r);
     return v.status;
   }
   // Offered again: what it says, and that it changes nothing.
   int again(const Order& o) {
-    const std::uint64_t before = ledger.changes();
+    const std::uint64_t before = state.changes();
     const int status = offer(o);
-    EXPECT_EQ(ledger.changes(), before) << "an order taken twice";
+    EXPECT_EQ(state.changes(), before) << "an order taken twice";
     return status;
   }
   void restart() {
-    Ledger read;
-    for (auto& r : ledger.since(0)) read.put(r);
-    ledger = read;
+    StateTable read;
+    for (auto& r : state.since(0)) read.put(r);
+    state = read;
   }
 };
 
@@ -61,13 +61,13 @@
   const std::size_t count = 2 * kTakenKept + 37;
   for (std::uint64_t n = 0; n < count; ++n) {
     taken.push_back(put(n ? taken.back().revision : 0, 3 * n + 2, n));
-    const std::uint64_t before = d.ledger.changes();
+    const std::uint64_t before = d.state.changes();
     ASSERT_EQ(d.offer(taken.back()), 200);
     if (n > 0) {
-      ASSERT_LE(d.ledger.changes() - before, 3u) << "one row a change beside the body and the head";
+      ASSERT_LE(d.state.changes() - before, 3u) << "one row a change beside the body and the head";
     }
     if (n % 499 == 0 || n + 5 > count || (n + 3) % kTakenKept < 6) {  // also around a new round of the ring
-      auto newest = newest_taken(d.ledger);
+      auto newest = newest_taken(d.state);
       ASSERT_TRUE(newest && newest->place == n && newest->revision == 3 * n + 2) << n;
       const std::size_t oldest = n < kTakenKept ? 0 : n - kTakenKept + 1;
       ASSERT_EQ(d.again(taken[oldest]), 200);
@@ -81,7 +81,7 @@
     }
   }
   std::size_t rows = 0;
-  for (auto& r : d.ledger.since(0)) rows += r.key.starts_with(kTakenKey);
+  for (auto& r : d.state.since(0)) rows += r.key.starts_with(kTakenKey);
   EXPECT_EQ(rows, kTakenKept) << "the record is bounded, with what is gone";
 }
 
@@ -135,22 +135,22 @@
 // What the version before this one has written: one row with a list of marks, by length and FNV-1a.
 TEST(Orders, TheListOfAFormerVersionIsStillRead) {
   const Order first = put(0, 2), second = patch(2, 5), third = put(5, 6, 9);
-  auto ledger_with = [&](std::vector<std::string> marks) {
+  auto state_with = [&](std::vector<std::string> marks) {
     Desk d;
     EXPECT_EQ(d.offer(first), 200);
     EXPECT_EQ(d.offer(second), 200);
     EXPECT_EQ(d.offer(third), 200);
-    Ledger former;
-    for (auto& r : d.ledger.since(0))
+    StateTable former;
+    for (auto& r : d.state.since(0))
       if (!r.key.starts_with(kTakenKey)) former.put(r);
     former.put({kTakenKey, Json(marks).dump(), former.stored() + 1, false});
-    d.ledger = former;
+    d.state = former;
     return d;
   };
   // Marks as that version wrote them, of these very bodies.
   const std::vector<std::string> marks{"171.4878634827111472009", "191.15563891274061379737",
                                        "171.2061441877084686447"};
-  Desk d = ledger_with(marks);
+  Desk d = state_with(marks);
   EXPECT_EQ(d.again(first), 200);
   EXPECT_EQ(d.again(second), 200);
   EXPECT_EQ(d.again(third), 200);
@@ -164,7 +164,7 @@
 
   std::vector<std::string> full = marks;  // it may have forgotten some
   while (full.size() < 64) full.push_back("1." + std::to_string(full.size()));
-  Desk f = ledger_with(full);
+  Desk f = state_with(full);
   EXPECT_EQ(f.again(second), 200);
   EXPECT_EQ(f.again(put(1, 2, 8)), 503) << "taken or not: that is no longer on record";
   ASSERT_EQ(f.offer(put(6, 8)), 200);
@@ -173,9 +173,9 @@
   std::uint64_t r = 8;
   for (std::size_t n = 1; n < kTakenKept; ++n, ++r) ASSERT_EQ(f.offer(put(r, r + 1)), 200);
   EXPECT_EQ(f.again(second), 200);
-  ASSERT_TRUE(f.ledger.find(kTakenKey));
+  ASSERT_TRUE(f.state.find(kTakenKey));
   ASSERT_EQ(f.offer(put(r, r + 1)), 200);
-  EXPECT_FALSE(f.ledger.find(kTakenKey)) << "the ring forgets, so the list is gone too";
+  EXPECT_FALSE(f.state.find(kTakenKey)) << "the ring forgets, so the list is gone too";
   EXPECT_EQ(f.again(second), 503);
   EXPECT_EQ(f.again(put(6, 8)), 503);
   EXPECT_EQ(f.again(put(8, 9)), 200);
@@ -184,7 +184,7 @@
 TEST(Orders, NodesAreNotToldOfTheRecord) {
   Desk d;
   for (std::uint64_t r = 1; r < 30; ++r) ASSERT_EQ(d.offer(put(r - 1, r)), 200);
-  Ledger former = d.ledger;
+  StateTable former = d.state;
   former.put({kTakenKey, "[]", former.stored() + 1, false});
   std::size_t told = 0;
   for (std::uint64_t from : {0, 5})
@@ -220,15 +220,15 @@
   p.offer(x, head, count);
   p.offer(y, head, count);
   p.offer(x, head, count);  // twice: the second finds itself taken
-  const auto stored = p.at(head).ledger().stored();
-  while (p.at(next).ledger().stored() < stored) p.run(1);
+  const auto stored = p.at(head).state().stored();
+  while (p.at(next).state().stored() < stored) p.run(1);
   p.net.cuts.insert({head, next});
   p.run(kSubmitRetryMs / 2);
   // Word of the commit before comes once more, and makes the head look through what it has to answer.
   p.at(head).receive(p.net.now, next, {{"t", "com"}, {"n", p.at(head).view().number}, {"k", stored}});
   p.run(kSubmitRetryMs / 2);
-  ASSERT_GT(p.at(head).ledger().stored(), stored) << "the two were judged";
-  ASSERT_EQ(newest_taken(p.at(head).ledger())->revision, 8u);
+  ASSERT_GT(p.at(head).state().stored(), stored) << "the two were judged";
+  ASSERT_EQ(newest_taken(p.at(head).state())->revision, 8u);
   EXPECT_EQ(answers, 0) << "an answer that rests on what may be lost";
   p.kill(head, true);
   p.net.cuts.clear();
--- a/tests/failover_world.h
+++ b/tests/failover/failover_cluster.h
@@ -5,15 +5,15 @@
 
 #include <random>
 
-#include "duty/failover.h"
-#include "keel/constants.h"
-#include "ordinance/ordinance.h"
-#include "sim_net.h"
+#include "base/constants.h"
+#include "config/update_validation.h"
+#include "failover/failover.h"
+#include "replication/simulated_network.h"
 
 namespace pebblespindle::test {
 
-using duty::DbReply;
-using duty::Failover;
+using failover::DbReply;
+using failover::Failover;
 
 struct Sea {
   struct Db {
@@ -24,8 +24,8 @@
     Position received{1, 0};
   };
   explicit Sea(std::uint32_t seed, int count = 3) : rng(seed) {
-    ledger.put({kConfigHeadKey, "[1,3000]", 1, false});
-    ledger.put({kServicePrefix + "s", "[16,1]", 1, false});
+    state.put({kConfigHeadKey, "[1,3000]", 1, false});
+    state.put({kServicePrefix + "s", "[16,1]", 1, false});
     for (int i = 0; i < count; ++i) tell(i, i == 0);
     dbs["db0"].primary = true;
     fresh_holder();
@@ -47,18 +47,18 @@
     submit(instance_update(instance(name)));
   }
   int submit(const Json& u) {
-    auto v = judge_update(ledger, u);
-    std::uint64_t n = ledger.stored() + 1;
+    auto v = judge_update(state, u);
+    std::uint64_t n = state.stored() + 1;
     for (auto& r : v.rows) {
       r.number = n;
-      ledger.put(r);
+      state.put(r);
     }
     return v.status;
   }
   void later(Millis ms, std::function<void()> fn) { events.emplace(now + ms, std::move(fn)); }
   bool chance(double p) { return std::uniform_real_distribution<>(0, 1)(rng) < p; }
 
-  // A holder that has died is followed by one that knows nothing but the ledger.
+  // A holder that has died is followed by one that knows nothing but the state.
   void fresh_holder() {
     failover = holder(++generation);
     standby = holder(generation + 1);
@@ -116,7 +116,7 @@
       later(300 + platform_lag, [this, id] { take_over(id.value); });
       answer(silent ? constants::kPlatformTimeoutMs : 5, silent ? 0 : 200);
     };
-    out.submit = [this, g](Json u, std::function<void(chain::Answer)> done) {
+    out.submit = [this, g](Json u, std::function<void(replication::Answer)> done) {
       later(10, [this, g, u, done] {
         int status = submit(u);
         if (g == generation) done({status, {}});
@@ -125,7 +125,7 @@
     out.all_acknowledged = [this](std::uint64_t) { return asked_of_hold = true; };
     out.members = [] { return std::size_t(4); };
     out.note = [](const std::string&) {};
-    return std::make_unique<Failover>(ledger, std::move(out));
+    return std::make_unique<Failover>(state, std::move(out));
   }
 
   static std::uint64_t term_of(const std::string& s) {
@@ -170,7 +170,7 @@
         r.term = d.term;
         synced = true;
       }
-      auto l = Lead::from(ledger.find(lead_key("s"))->value);
+      auto l = Lead::from(state.find(lead_key("s"))->value);
       bool told = !l->hold || !asked_of_hold;  // nodes that have acknowledged the hold pass no success on
       if (synced && told) acked = std::max(acked, p);
       if (!l->hold) asked_of_hold = false;
@@ -214,13 +214,13 @@
     }
   }
   std::string leader() {
-    auto l = Lead::from(ledger.find(lead_key("s"))->value);
+    auto l = Lead::from(state.find(lead_key("s"))->value);
     return l->hold ? "" : l->primary.value;
   }
 
   Millis now = 1000;
   std::mt19937 rng;
-  Ledger ledger;
+  StateTable state;
   std::map<std::string, Db> dbs;
   std::unique_ptr<Failover> failover, standby;
   std::multimap<Millis, std::function<void()>> events;
--- a/tests/failover_test.cc
+++ b/tests/failover/failover_test.cc
@@ -1,6 +1,6 @@
 // The failover duty against model databases and a moody platform: no acknowledged commit is ever left
 // behind by a promote, no abandoned attempt leaves a replica held, and the lead always settles.
-#include "failover_world.h"
+#include "failover/failover_cluster.h"
 
 namespace pebblespindle::test {
 namespace {
@@ -146,9 +146,9 @@
   auto back = sea.instance("db1");
   back.id = {"new1"};
   sea.submit(instance_update(back));
-  EXPECT_EQ(sea.ledger.find(instance_key({"db1"})), nullptr);
+  EXPECT_EQ(sea.state.find(instance_key({"db1"})), nullptr);
   sea.submit(instance_update(sea.instance("db1")));  // a late beat of the old one
-  EXPECT_EQ(sea.ledger.find(instance_key({"db1"})), nullptr);
+  EXPECT_EQ(sea.state.find(instance_key({"db1"})), nullptr);
 }
 
 TEST(Failover, WhatADepartingReplicaAloneHasReceivedIsNotLeftBehind) {
--- a/tests/leaving_test.cc
+++ b/tests/failover/leaving_replica_test.cc
@@ -2,7 +2,7 @@
 // along. The rule of failover_world.h is checked after each step.
 #include <cstdlib>
 
-#include "failover_world.h"
+#include "failover/failover_cluster.h"
 
 namespace pebblespindle::test {
 namespace {
@@ -18,7 +18,7 @@
   void steps(int n) {
     for (int i = 0; i < n; ++i) step();
   }
-  bool present(const std::string& name) { return ledger.find(instance_key({name})) != nullptr; }
+  bool present(const std::string& name) { return state.find(instance_key({name})) != nullptr; }
   std::vector<std::string> replicas() {
     std::vector<std::string> out;
     for (auto& [name, d] : dbs)
@@ -68,14 +68,14 @@
   int next;
 };
 
-struct Tally {
+struct Quota {
   int leavings = 0, alone = 0, lost = 0, pairs = 0, releases = 0, limits = 0, promotes = 0;
 };
 
 // One seed: leavings that overlap with losses, switches and releases. What exceeds the bounds is left out:
 // the one that alone holds a commit ends after a lost primary only once it has been asked, or the primary is
 // back.
-void play(std::uint32_t seed, Tally& tally) {
+void play(std::uint32_t seed, Quota& quota) {
   Harbour h(seed, 3 + int(seed % 2));
   h.platform_trouble = seed % 3 == 0 ? 0.3 : 0;
   h.resets = seed % 4 == 1 ? 0.1 : 0;
@@ -87,22 +87,22 @@
     std::shuffle(replicas.begin(), replicas.end(), h.rng);
     bool two = h.chance(0.35) && replicas.size() > 1;
     std::vector<std::string> leavers(replicas.begin(), replicas.begin() + (two ? 2 : 1));
-    tally.leavings += int(leavers.size());
-    tally.pairs += two;
+    quota.leavings += int(leavers.size());
+    quota.pairs += two;
     std::string primary = h.primary();
     bool alone = h.chance(0.7);
     if (alone) h.alone_receives(leavers[0]);
-    tally.alone += alone;
+    quota.alone += alone;
     for (auto& l : leavers)
       if (h.chance(0.8)) h.drain(l);
-    if (h.chance(0.3)) h.drain(primary), ++tally.releases;  // a planned switch, with its release
+    if (h.chance(0.3)) h.drain(primary), ++quota.releases;  // a planned switch, with its release
     h.steps(upto(700));
     for (auto& l : leavers)
       if (h.chance(0.7)) h.say_gone(l);
-    if (h.chance(0.25)) h.dbs[leavers[0]].full = true, ++tally.limits;
+    if (h.chance(0.25)) h.dbs[leavers[0]].full = true, ++quota.limits;
     h.steps(upto(300));
     bool loses = h.chance(0.7) && h.leader() == primary && h.primary() == primary;
-    if (loses) (h.chance(0.5) ? h.dbs[primary].up : h.dbs[primary].dark) ^= true, ++tally.lost;
+    if (loses) (h.chance(0.5) ? h.dbs[primary].up : h.dbs[primary].dark) ^= true, ++quota.lost;
     h.steps(upto(800));
     h.hear_all();
     h.steps(upto(700));
@@ -130,11 +130,11 @@
     EXPECT_TRUE(h.dbs[leader].primary) << "the lead names one that does not lead";
     for (auto& name : h.replicas()) EXPECT_EQ(h.dbs[name].held, 0u) << name << " is still held";
   }
-  tally.promotes += h.promotes;
+  quota.promotes += h.promotes;
 }
 
 TEST(Leaving, NoAcknowledgedCommitLeavesWithAReplica) {
-  Tally t;
+  Quota t;
   for (std::uint32_t seed = 1; seed <= seeds() && !testing::Test::HasFailure(); ++seed) {
     SCOPED_TRACE(seed);
     play(seed, t);
--- a/tests/pooler_answers_test.cc
+++ b/tests/pooler/engine_answers_test.cc
@@ -1,12 +1,12 @@
 // PoolerAnswers to their own callers, each suspicion by itself: the pool's connections, former borrowers,
 // former lives.
-#include "berth/news.h"
-#include "quay.h"
+#include "pooler/control_feed.h"
+#include "pooler/manual_databases.h"
 
 namespace pebblespindle::test {
 namespace {
 
-struct Narrow : Quay {  // one connection at a time
+struct Narrow : ManualDatabases {  // one connection at a time
   explicit Narrow(Millis leased = 100000) {
     most = 1;
     feed();
@@ -423,8 +423,8 @@
 // --- former links and lives -------------------------------------------------------------
 
 TEST_F(PoolerAnswers, GrantsOfAFormerLinkAreVoid) {
-  Quay w;
-  berth::News news(w.engine);
+  ManualDatabases w;
+  pooler::News news(w.engine);
   w.feed();
   news.linked(w.now);
   auto grant = [&](Millis at, Millis ms) {
@@ -444,8 +444,8 @@
 
 TEST_F(PoolerAnswers, PositionsOfAFormerLinkAreVoid) {
   for (bool former : {true, false}) {
-    Quay w;
-    berth::News news(w.engine);
+    ManualDatabases w;
+    pooler::News news(w.engine);
     w.feed(false, "db1");  // db0 is the replica at home
     w.lease();
     news.linked(w.now);
--- a/tests/engine_world.h
+++ b/tests/pooler/engine_cluster.h
@@ -1,17 +1,17 @@
-// A world around one berth engine: clients, three model databases, and a control plane that hands over
+// A world around one pooler engine: clients, three model databases, and a control plane that hands over
 // the lead. Every statement that reaches a database is checked against the rules at that moment.
 #pragma once
 #include <gtest/gtest.h>
 
 #include <random>
 
-#include "berth/engine.h"
-#include "ordinance/records.h"
+#include "config/records.h"
+#include "pooler/engine.h"
 
 namespace pebblespindle::test {
 
-using berth::ConnId;
-using berth::SessionId;
+using pooler::ConnId;
+using pooler::SessionId;
 
 struct Guards {  // troubles of one run
   double lose_answer = 0, throttle = 0, reset = 0, leave = 0.01;
@@ -19,7 +19,7 @@
   bool failovers = false, lapses = false;
 };
 
-class World : public berth::Port {
+class World : public pooler::Port {
  public:
   World(std::uint32_t seed, Guards g) : rng(seed), guards(g), engine(*this, timers, "z1", 7000, seed) {
     engine.set_time(now);
@@ -154,7 +154,7 @@
         ++number;  // the node is cut off: it hears nothing of this
       else
         lead(primary, true, number + 1);
-    } else if (phase == 1 && ((engine.acknowledged() >= number && engine.chart().number() >= number) ||
+    } else if (phase == 1 && ((engine.acknowledged() >= number && engine.cluster().number() >= number) ||
                               now > std::max(held_at, lapse_until) + 1600)) {
       phase = 2;
       int next = (primary + 1 + pick(2)) % 3;
@@ -211,7 +211,7 @@
   void suspect(const InstanceId&, Trouble) override {}
   void cleared(const InstanceId&) override {}
   void full(const InstanceId&) override {}
-  void pay(const std::string&, tally::Rights) override {}
+  void pay(const std::string&, quota::Rights) override {}
   void sound(const std::string&) override {}
   void slow(const InstanceId&) override {}
   void to_server(ConnId id, std::string bytes) override {
@@ -253,8 +253,8 @@
   Millis now = 1000;
   std::mt19937 rng;
   Guards guards;
-  Timers timers;
-  berth::Engine engine;
+  TimerQueue timers;
+  pooler::Engine engine;
   std::vector<Row> rows;
   Db dbs[3];
   int primary = 0, phase = 0;
--- a/tests/fuzz_wire_test.cc
+++ b/tests/pooler/engine_fuzz_test.cc
@@ -3,10 +3,10 @@
 #include <cstdlib>
 #include <random>
 
-#include "berth/news.h"
-#include "keel/line_conn.h"
-#include "quay.h"
-#include "tender/relay.h"
+#include "agent/relay.h"
+#include "net/line_connection.h"
+#include "pooler/control_feed.h"
+#include "pooler/manual_databases.h"
 
 namespace pebblespindle::test {
 namespace {
@@ -82,16 +82,16 @@
     auto inside = [&](std::string_view v) {
       return v.empty() || (v.data() >= s.data() && v.data() + v.size() <= s.data() + s.size());
     };
-    auto st = wire::parse_statement(s);
+    auto st = sql_protocol::parse_statement(s);
     ASSERT_TRUE(inside(st.name) && inside(st.rest));
     std::string_view rest = s;
     for (std::size_t n = 0; !rest.empty(); ++n) {
-      ASSERT_EQ(wire::take(rest).find(' '), std::string_view::npos);
+      ASSERT_EQ(sql_protocol::take(rest).find(' '), std::string_view::npos);
       ASSERT_LE(n, s.size());
     }
-    auto idle = wire::parse_idle(s);
+    auto idle = sql_protocol::parse_idle(s);
     ASSERT_TRUE(!idle || idle->state == 'I' || idle->state == 'T' || idle->state == 'E');
-    wire::parse_info(s);
+    sql_protocol::parse_info(s);
     auto p = Position::parse(s);
     ASSERT_TRUE(!p || Position::parse(p->text()) == p);
   }
@@ -119,11 +119,12 @@
     asio::ip::tcp::socket far(io), near(io);
     far.connect(acceptor.local_endpoint());
     acceptor.accept(near);
-    auto conn = std::make_shared<LineConn>(std::move(near), kMost);
+    auto conn = std::make_shared<LineConnection>(std::move(near), kMost);
     std::vector<std::string> got;
-    std::optional<LineConn::End> end;
-    conn->start(
-        {[&](std::string_view line) { got.emplace_back(line); }, [&](LineConn::End e) { end = e; }, {}});
+    std::optional<LineConnection::End> end;
+    conn->start({[&](std::string_view line) { got.emplace_back(line); },
+                 [&](LineConnection::End e) { end = e; },
+                 {}});
     for (std::size_t from = 0; from < stream.size();) {
       std::size_t n = std::min(stream.size() - from, std::size_t(1 + b.pick(200)));
       asio::error_code ignored;
@@ -135,7 +136,7 @@
     far.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
     for (int turn = 0; turn < 20000 && !end; ++turn) io.restart(), io.poll();
     ASSERT_TRUE(end);
-    ASSERT_EQ(*end == LineConn::End::kTooLong, too_long);
+    ASSERT_EQ(*end == LineConnection::End::kTooLong, too_long);
     ASSERT_EQ(got, wanted);
     conn->close();
     io.restart(), io.poll();
@@ -143,7 +144,7 @@
 }
 
 // Databases that do all that is asked, each answer with the name of its statement in it.
-void serve_well(Quay& q, std::map<ConnId, bool>& tx) {
+void serve_well(ManualDatabases& q, std::map<ConnId, bool>& tx) {
   for (bool more = true; more;) {
     more = false;
     for (auto& [conn, l] : q.lines) {
@@ -152,17 +153,17 @@
       l.heard.erase(l.heard.begin());
       more = true;
       std::string_view rest = line;
-      if (wire::take(rest) == "CONNECT") {
+      if (sql_protocol::take(rest) == "CONNECT") {
         q.read(conn, {"IDLE I 1.1"});
         break;
       }
-      const std::string name(wire::take(rest));
+      const std::string name(sql_protocol::take(rest));
       if (rest.starts_with("BEGIN") || rest.find(" BEGIN") != std::string_view::npos) tx[conn] = true;
       if (rest == "COMMIT" || rest == "ROLLBACK") tx[conn] = false;
       const std::string idle = tx[conn] ? "IDLE T 1.2" : "IDLE I 1.2";
-      auto verb = wire::parse_statement(rest).verb;
-      bool own = name == "-" && verb != wire::Verb::kFetch && verb != wire::Verb::kStore &&
-                 verb != wire::Verb::kExecute && verb != wire::Verb::kCommit;
+      auto verb = sql_protocol::parse_statement(rest).verb;
+      bool own = name == "-" && verb != sql_protocol::Verb::kFetch && verb != sql_protocol::Verb::kStore &&
+                 verb != sql_protocol::Verb::kExecute && verb != sql_protocol::Verb::kCommit;
       if (own)
         q.read(conn, {"COMPLETE -", idle});
       else
@@ -190,7 +191,7 @@
                         "QUERY x1 WAITFOR 1.1 FETCH a"};
   for (int i = 0; i < rounds(60); ++i) {
     Bytes b(std::uint32_t(1000 + i));
-    Quay q(16);
+    ManualDatabases q(16);
     q.feed();
     q.lease(1000000);
     std::map<ConnId, bool> tx;
@@ -220,8 +221,8 @@
 }
 
 // Marks each statement of a client by the connection and the turn at which it is written.
-struct Marked : Quay {
-  using Quay::Quay;
+struct Marked : ManualDatabases {
+  using ManualDatabases::ManualDatabases;
   static std::string tag(ConnId conn, int turn) {
     std::string s = std::to_string(conn) + "." + std::to_string(turn);
     return s + "." + std::to_string(std::hash<std::string>()(s));
@@ -232,10 +233,10 @@
            s.substr(dot + 1) == std::to_string(std::hash<std::string>()(s.substr(0, dot)));
   }
   void to_server(ConnId id, std::string bytes) override {
-    Quay::to_server(id, bytes);
+    ManualDatabases::to_server(id, bytes);
     std::string_view rest = lines[id].heard.back();
-    if (wire::take(rest) != "QUERY") return;
-    std::string name(wire::take(rest));
+    if (sql_protocol::take(rest) != "QUERY") return;
+    std::string name(sql_protocol::take(rest));
     if (name != "-") marks[name].insert(tag(id, ++wrote[id]));
   }
   std::map<ConnId, int> wrote;
@@ -301,7 +302,7 @@
         std::string told = q.news(s);
         for (std::size_t nl; (nl = told.find("\r\n")) != std::string::npos; told.erase(0, nl + 2)) {
           std::string_view rest = std::string_view(told).substr(0, nl);
-          auto word = wire::take(rest);
+          auto word = sql_protocol::take(rest);
           ASSERT_FALSE(c.mine.empty()) << "an answer to nothing: " << told.substr(0, nl);
           if (word == "IDLE") {
             ASSERT_TRUE(c.outcome);
@@ -327,7 +328,7 @@
   EXPECT_GT(served, 500) << "hardly anything came through";
 }
 
-// The lines between core, tender and proxy, with any field missing, of another type, or out of all bounds.
+// The lines between core, agent and proxy, with any field missing, of another type, or out of all bounds.
 TEST(Fuzz, InnerMessagesOfAnyShapeDoNoHarm) {
   struct Ends : Relay::Port {
     void to_core(const std::string& line) override { core += line.size(); }
@@ -343,8 +344,8 @@
     Bytes b(std::uint32_t(9000 + i));
     Ends ends;
     Relay relay(ends, "n", "z");
-    Quay q;
-    berth::News news(q.engine);
+    ManualDatabases q;
+    pooler::News news(q.engine);
     q.feed();
     q.lease(100);
     news.linked(q.now);
--- a/tests/engine_test.cc
+++ b/tests/pooler/engine_simulation_test.cc
@@ -1,4 +1,4 @@
-#include "engine_world.h"
+#include "pooler/engine_cluster.h"
 
 namespace pebblespindle::test {
 
@@ -6,16 +6,16 @@
 void World::server_hears(ConnId id, std::string_view line) {
   auto& l = lines[id];
   auto& d = dbs[l.db];
-  auto word = wire::take(line);
-  if (word == "CONNECT") return reply(id, wire::idle('I', log_of(d, true).text()));
+  auto word = sql_protocol::take(line);
+  if (word == "CONNECT") return reply(id, sql_protocol::idle('I', log_of(d, true).text()));
   if (word != "QUERY") return;
-  std::string qid(wire::take(line)), error;
+  std::string qid(sql_protocol::take(line)), error;
   std::string body = run_statement(l, d, qid, line, error);
   if (!error.empty()) {
-    body = wire::error(error, "x");
+    body = sql_protocol::error(error, "x");
     if (l.state == 'T') l.state = 'E';
   }
-  reply(id, body + wire::idle(l.state, log_of(d, true).text()));
+  reply(id, body + sql_protocol::idle(l.state, log_of(d, true).text()));
 }
 
 std::string World::run_statement(Line& l, Db& d, const std::string& qid, std::string_view text,
@@ -23,21 +23,21 @@
   const std::string done = "COMPLETE -\r\n";
   bool leads = &d == &dbs[primary] || !d.fed;  // an old primary goes on until it learns better
   if (text.starts_with("WAITFOR ")) {
-    wire::take(text);
-    auto p = Position::parse(wire::take(text));
+    sql_protocol::take(text);
+    auto p = Position::parse(sql_protocol::take(text));
     EXPECT_TRUE(p);
     if (log_of(d, true) < *p) return error = "LAGGING", "";
   }
-  auto st = wire::parse_statement(text);
+  auto st = sql_protocol::parse_statement(text);
   if (text == "RESET") {
     l.values.clear();
     l.prepared.clear();
     return done;
   }
   if (qid == "-") {
-    if (st.verb == wire::Verb::kConfigure) l.values[std::string(st.name)] = std::string(st.rest);
-    if (st.verb == wire::Verb::kPrepare) l.prepared[std::string(st.name)] = std::string(st.rest);
-    if (st.verb == wire::Verb::kBegin) {
+    if (st.verb == sql_protocol::Verb::kConfigure) l.values[std::string(st.name)] = std::string(st.rest);
+    if (st.verb == sql_protocol::Verb::kPrepare) l.prepared[std::string(st.name)] = std::string(st.rest);
+    if (st.verb == sql_protocol::Verb::kBegin) {
       EXPECT_EQ(l.state, 'I');
       if (!leads && !st.read_only) return error = "READONLY", "";
       l.state = 'T';
@@ -45,7 +45,7 @@
       l.tx_read_only = st.read_only;
       l.tx_writes.clear();
     }
-    if (st.verb == wire::Verb::kRollback) l.state = 'I';
+    if (st.verb == sql_protocol::Verb::kRollback) l.state = 'I';
     return done;
   }
   auto a = asked.find(qid);
@@ -70,7 +70,7 @@
     EXPECT_EQ(l.tx, q.tx) << "PINNED: in another transaction";
   }
   if (q.write && !leads) return error = "READONLY", "";
-  if (st.verb == wire::Verb::kCommit) {
+  if (st.verb == sql_protocol::Verb::kCommit) {
     l.state = 'I';
     if (!l.tx_writes.empty()) {
       if (&d != &dbs[primary] || !d.fed) return error = "READONLY", "";
@@ -173,10 +173,10 @@
 }
 
 void World::client_hears(Client& c, std::string_view line) {
-  auto word = wire::take(line);
+  auto word = sql_protocol::take(line);
   if (!c.waiting) ADD_FAILURE() << "an answer to nothing";
   if (word == "STMTERR") {
-    c.error = std::string(wire::take(line));
+    c.error = std::string(sql_protocol::take(line));
   } else if (word == "COMPLETE") {
     c.complete = true;
     c.stamp = std::string(line);
@@ -189,18 +189,18 @@
   c.waiting = false;
   c.next = now + pick(40);
   if (c.id == "connect") return;
-  auto st = wire::parse_statement(c.text);
-  bool commit = st.verb == wire::Verb::kCommit;
+  auto st = sql_protocol::parse_statement(c.text);
+  bool commit = st.verb == sql_protocol::Verb::kCommit;
   if (c.error.empty()) {
     ++served;
     EXPECT_TRUE(c.complete);
-    bool run = commit || st.verb == wire::Verb::kFetch || st.verb == wire::Verb::kStore ||
-               st.verb == wire::Verb::kExecute;
+    bool run = commit || st.verb == sql_protocol::Verb::kFetch || st.verb == sql_protocol::Verb::kStore ||
+               st.verb == sql_protocol::Verb::kExecute;
     if (run && !c.failed) {
       EXPECT_EQ(c.stamp, "stamp-" + c.id) << "MIXED";
     }
-    if (st.verb == wire::Verb::kConfigure) c.values[std::string(st.name)] = std::string(st.rest);
-    if (st.verb == wire::Verb::kPrepare) c.prepared[std::string(st.name)] = std::string(st.rest);
+    if (st.verb == sql_protocol::Verb::kConfigure) c.values[std::string(st.name)] = std::string(st.rest);
+    if (st.verb == sql_protocol::Verb::kPrepare) c.prepared[std::string(st.name)] = std::string(st.rest);
     bool wrote = (commit && !c.tx_ids.empty()) || (!c.tx && asked[c.id].write);
     if (wrote) {
       EXPECT_TRUE(kept.count(commit ? c.tx_ids.front() : c.id)) << "an acknowledged write is not kept";
@@ -210,7 +210,7 @@
     }
   } else {
     ++refused;
-    if (wire::is_promise(c.error)) {
+    if (sql_protocol::is_promise(c.error)) {
       std::vector<std::string> ids = c.tx_ids;
       if (!c.tx) ids = {c.id};
       for (auto& id : ids) {
--- a/tests/engine_small_test.cc
+++ b/tests/pooler/engine_test.cc
@@ -1,11 +1,11 @@
-// Single behaviours of the berth's engine, each against databases that a test answers for by hand.
-#include "quay.h"
+// Single behaviours of the pooler's engine, each against databases that a test answers for by hand.
+#include "pooler/manual_databases.h"
 
 namespace pebblespindle::test {
 namespace {
 
 TEST(Engine, SessionsWaitForTheFirstFeedAndLease) {
-  Quay q;
+  ManualDatabases q;
   q.engine.client_open(1);
   q.say(1, "CONNECT prim a");
   EXPECT_EQ(q.told[1], "") << "a database may exist that is not known yet";
@@ -13,7 +13,7 @@
   EXPECT_EQ(q.told[1], "");
   q.lease();
   EXPECT_EQ(q.told[1], "IDLE I -\r\n");
-  Quay late;
+  ManualDatabases late;
   late.engine.client_open(1);
   late.say(1, "CONNECT prim a");
   late.pass(constants::kFirstFeedMs + 1);
@@ -22,7 +22,7 @@
 }
 
 TEST(Engine, ASessionThatWaitedForALeaseIsGreetedOnce) {
-  Quay q;
+  ManualDatabases q;
   q.engine.client_open(1);
   q.say(1, "CONNECT prim a");
   q.feed();
@@ -33,7 +33,7 @@
 }
 
 TEST(Engine, ACommitThatIsAnsweredAfterTheSuspensionIsNotPassedOnAsKept) {
-  Quay q;
+  ManualDatabases q;
   q.feed();
   q.lease();
   q.engine.client_open(1);
@@ -51,7 +51,7 @@
 }
 
 TEST(Engine, ANodeWhoseLeaseHasEndedSendsItsClientsElsewhere) {
-  Quay q;
+  ManualDatabases q;
   q.feed();
   q.lease(1000);
   for (SessionId id : {1, 2}) {
@@ -74,7 +74,7 @@
 
 TEST(Engine, WhereConnectionsAreScarceEachNodeKeepsOneUntilOneIsTurnedAway) {
   for (bool scarce : {false, true}) {
-    Quay q(50);
+    ManualDatabases q(50);
     q.feed();
     q.lease(100000, scarce ? 60 : 4);
     for (SessionId id : {1, 2}) {
@@ -91,7 +91,7 @@
   }
   double kept = 0;  // of one that has turned a connection away, by 200 nodes
   for (std::uint64_t lot = 0; lot < 200; ++lot) {
-    Quay q(50, lot * 7919);
+    ManualDatabases q(50, lot * 7919);
     q.feed();
     q.lease(100000, 60);
     q.engine.client_open(1);
@@ -109,7 +109,7 @@
 // home can serve the read; it is asked once, and not waited for when nothing comes.
 TEST(Engine, AReadWithoutAPositionAsksTheCoreAndGoesToTheReplicaAtHome) {
   for (bool answered : {true, false}) {
-    Quay q;
+    ManualDatabases q;
     q.feed(false, "db1");  // the lead is elsewhere, db0 is the replica at home
     q.lease();
     q.engine.hear_clock(5, 70000);
@@ -117,7 +117,7 @@
     q.say(1, "CONNECT bound a");
     auto read = [&] {
       q.say(1, "QUERY a FETCH k");
-      answered ? q.engine.sounded("s", q.now - 900, Position{1, 2}) : q.pass(constants::kSoundMs);
+      answered ? q.engine.position_asked("s", q.now - 900, Position{1, 2}) : q.pass(constants::kSoundMs);
       return q.answer("COMPLETE 7.1");
     };
     EXPECT_EQ(read(), answered ? 1 : 2);
@@ -132,7 +132,7 @@
 
 TEST(Engine, ReadsLeaveAPrimaryThatHasMoreCallersThanPlaces) {
   for (bool tight : {false, true}) {
-    Quay q(16, 7, "z9");  // no database at home
+    ManualDatabases q(16, 7, "z9");  // no database at home
     q.feed();
     q.lease();
     q.engine.hear_clock(5, 70000);
@@ -140,13 +140,13 @@
     q.engine.client_open(1);
     q.say(1, "CONNECT bound a");
     q.say(1, "QUERY a FETCH k");
-    if (tight) q.engine.sounded("s", q.now - 900, Position{1, 1});
+    if (tight) q.engine.position_asked("s", q.now - 900, Position{1, 1});
     EXPECT_EQ(q.answer("COMPLETE 7.1") == 1, !tight);
   }
 }
 
 TEST(Engine, ReadsLeaveADatabaseThatFailsThem) {
-  Quay q;
+  ManualDatabases q;
   q.feed();
   q.lease();
   q.engine.client_open(1);
@@ -170,7 +170,7 @@
 // Behind the change that its lease names, or without a lease, a node cannot tell a route that is missing from
 // one it has not heard of.
 TEST(Engine, ARouteNotHeardOfIsNotDenied) {
-  Quay q;
+  ManualDatabases q;
   q.feed();
   q.lease();
   auto ask = [&](SessionId id) {
--- a/tests/fleet_test.cc
+++ b/tests/pooler/fleet_test.cc
@@ -4,11 +4,11 @@
 
 #include <random>
 
-#include "berth/freshness.h"
-#include "keel/constants.h"
-#include "ordinance/chart.h"
-#include "ordinance/ordinance.h"
-#include "roster/soundings.h"
+#include "base/constants.h"
+#include "config/cluster_state.h"
+#include "config/update_validation.h"
+#include "membership/position_cache.h"
+#include "pooler/freshness.h"
 
 namespace pebblespindle::test {
 namespace {
@@ -29,25 +29,25 @@
 }
 
 struct Core {
-  Ledger ledger;
+  StateTable state;
   void offer(const Json& update) {
-    auto v = judge_update(ledger, update);
+    auto v = judge_update(state, update);
     ASSERT_EQ(v.status, 200);
-    std::uint64_t n = ledger.stored() + 1;
-    for (auto& r : v.rows) r.number = n, ledger.put(r);
+    std::uint64_t n = state.stored() + 1;
+    for (auto& r : v.rows) r.number = n, state.put(r);
   }
-  auto lines(std::uint64_t from) { return feed_lines(from, ledger.stored(), ledger.since(from)); }
+  auto lines(std::uint64_t from) { return feed_lines(from, state.stored(), state.since(from)); }
 };
 
-// As a tender does: pieces count together, with the last.
-void take(Chart& chart, const std::vector<std::string>& lines) {
+// As an agent does: pieces count together, with the last.
+void take(ClusterState& cluster, const std::vector<std::string>& lines) {
   std::vector<Row> rows;
   for (auto& line : lines) {
     Json m = Json::parse(line);
     auto piece = rows_from_json(m["r"]);
     ASSERT_TRUE(piece);
     rows.insert(rows.end(), piece.value->begin(), piece.value->end());
-    if (m.value("left", 0) == 0) chart.apply(m["k"], rows);
+    if (m.value("left", 0) == 0) cluster.apply(m["k"], rows);
   }
 }
 
@@ -72,7 +72,7 @@
                 1};
     core.offer(instance_update(in));
   }
-  Chart node;
+  ClusterState node;
   take(node, core.lines(0));
   EXPECT_EQ(node.instances().size(), std::size_t(databases));
   // One time-out of 400 routes.
@@ -99,11 +99,11 @@
   EXPECT_TRUE(node.route("host399"));
   auto whole = core.lines(0);
   EXPECT_LT(bytes(whole), 150000u);
-  Chart fresh;
+  ClusterState fresh;
   take(fresh, whole);
   EXPECT_FALSE(fresh.route("host1799"));
   EXPECT_EQ(fresh.route("host0")->timeout_ms, 700);
-  EXPECT_EQ(core.ledger.find(kConfigKey)->value, configuration(4, services, 400, 700));
+  EXPECT_EQ(core.state.find(kConfigKey)->value, configuration(4, services, 400, 700));
 }
 
 // Nodes with clocks of their own, messages that take any time and overtake each other: a position that
@@ -113,8 +113,8 @@
   auto pick = [&](int n) { return Millis(rng() % std::uint32_t(n)); };
   for (int round = 0; round < 200; ++round) {
     const Millis core_clock = pick(100000), a_clock = pick(100000), b_clock = pick(100000);
-    Soundings core;
-    berth::Freshness fresh;       // of B
+    PositionCache core;
+    pooler::Freshness fresh;      // of B
     std::vector<Millis> commits;  // the time at which number n was acknowledged
     std::multimap<Millis, std::function<void()>> events;
     Millis now = 0, ahead = -1000000;  // true time; the core's clock less A's, as A has heard it
--- a/tests/lease_test.cc
+++ b/tests/pooler/lease_test.cc
@@ -1,5 +1,5 @@
 // Leases of a view, each hole once met as the smallest run that shows it.
-#include "chain_world.h"
+#include "replication/replica_cluster.h"
 
 namespace pebblespindle::test {
 namespace {
--- a/tests/quay.h
+++ b/tests/pooler/manual_databases.h
@@ -1,21 +1,21 @@
-// A berth's engine against databases that a test answers for by hand.
+// A pooler's engine against databases that a test answers for by hand.
 #pragma once
 #include <gtest/gtest.h>
 
-#include "berth/engine.h"
+#include "pooler/engine.h"
 
 namespace pebblespindle::test {
 
-using berth::ConnId;
-using berth::SessionId;
+using pooler::ConnId;
+using pooler::SessionId;
 
-struct Quay : berth::Port {
+struct ManualDatabases : pooler::Port {
   struct Line {
     Endpoint at;
     std::vector<std::string> heard;  // statements not yet answered
     bool open = true;
   };
-  explicit Quay(int cap = 16, std::uint64_t lot = 7, const std::string& zone = "z0")
+  explicit ManualDatabases(int cap = 16, std::uint64_t lot = 7, const std::string& zone = "z0")
       : engine(*this, timers, zone, 7000, lot) {
     engine.set_time(now);
     config = R"({"Revision":1,"Routes":[
@@ -138,19 +138,19 @@
   void close_server(ConnId id, bool) override { lines[id].open = false; }
   void suspect(const InstanceId&, Trouble) override {}
   void full(const InstanceId&) override {}
-  void pay(const std::string&, tally::Rights) override {}
+  void pay(const std::string&, quota::Rights) override {}
   void sound(const std::string& service) override { asked_depth.push_back(service); }
   void slow(const InstanceId&) override {}
   void cleared(const InstanceId&) override {}
 
-  Timers timers;
+  TimerQueue timers;
   Millis now = 10000;
   std::uint64_t number = 0;
   std::string config;
   std::size_t most = 99;  // connections that come up
   bool by_hand = false;   // also the node's own statements are the test's to answer
   std::vector<std::string> asked_depth;
-  berth::Engine engine;
+  pooler::Engine engine;
   std::map<ConnId, Line> lines;
   std::vector<std::string> written;  // to databases, all of it
   std::map<SessionId, std::string> told;
--- a/tests/sessions_world.cc
+++ b/tests/pooler/session_cluster.cc
@@ -1,9 +1,9 @@
 // The databases of the world of sessions, the control plane, and what goes wrong.
-#include "sessions_world.h"
+#include "pooler/session_cluster.h"
 
 #include <cstdlib>
 
-#include "keel/constants.h"
+#include "base/constants.h"
 
 namespace pebblespindle::test {
 namespace {
@@ -37,7 +37,7 @@
     c.tenant = i % 3 ? "ann" : "bob";
     clients_.push_back(c);
   }
-  start_berth();
+  start_pooler();
 }
 
 Instance SessionsWorld::instance(int db) const {
@@ -56,7 +56,7 @@
   engine_->lease(now_ + 950, core_.stored(), 1);
 }
 
-void SessionsWorld::pay(const std::string& tenant, tally::Rights want) {
+void SessionsWorld::pay(const std::string& tenant, quota::Rights want) {
   if (chance(t_.lost * 5)) return;
   later(1 + pick(20), [this, tenant, want, life = life_] {
     if (life == life_) engine_->paid(tenant, "core", given_[tenant] += chance(t_.refuse * 5) ? 0 : want);
@@ -67,7 +67,7 @@
   if (chance(t_.lost * 5)) return;
   later(1 + pick(20), [this, service, asked = now_, life = life_] {
     if (life != life_) return;
-    engine_->sounded(service, asked - 50, chance(0.8) ? std::optional(Position{1, 1}) : std::nullopt);
+    engine_->position_asked(service, asked - 50, chance(0.8) ? std::optional(Position{1, 1}) : std::nullopt);
   });
 }
 
@@ -89,8 +89,8 @@
   }
 }
 
-// A new life of the berth: its connections end at both sides, with what was on its way run or not.
-void SessionsWorld::start_berth() {
+// A new life of the pooler: its connections end at both sides, with what was on its way run or not.
+void SessionsWorld::start_pooler() {
   for (auto& [id, l] : lines_)
     while (!l.dark && !l.in.empty() && chance(0.8)) {
       std::string line = std::move(l.in.front());
@@ -102,10 +102,10 @@
   lines_.clear();
   for (auto& c : clients_) gone(c);
   engine_.reset();
-  timers_ = std::make_unique<Timers>();
-  engine_ = std::make_unique<berth::Engine>(*this, *timers_, "z1", 7000, rng_());
+  timers_ = std::make_unique<TimerQueue>();
+  engine_ = std::make_unique<pooler::Engine>(*this, *timers_, "z1", 7000, rng_());
   engine_->set_time(now_);
-  hold_ = Hold();
+  hold_ = StateCache();
   given_.clear();
   ending_ = false;
   feed_hold();
@@ -130,7 +130,7 @@
     auto it = std::next(lines_.begin(), pick(int(lines_.size())));
     int db = it->second.db;
     bool all = chance(0.2);  // the whole database
-    std::vector<berth::ConnId> ids;
+    std::vector<pooler::ConnId> ids;
     for (auto& [id, l] : lines_)
       if (all ? l.db == db : id == it->first) ids.push_back(id);
     for (auto id : ids) reset_line(id);
@@ -138,18 +138,18 @@
   if (chance(t_.stray) && !lines_.empty()) {  // an answer to nothing
     auto it = std::next(lines_.begin(), pick(int(lines_.size())));
     if (it->second.open && it->second.owed == 0) {
-      berth::ConnId id = it->first;
+      pooler::ConnId id = it->first;
       for (auto* line : {"DATAROW r", "COMPLETE stray", "IDLE I 1.1"})
         if (!chance(0.3)) engine_->server_line(id, line);
       engine_->server_read(id);
     }
   }
-  if (chance(t_.tender)) {  // its new life is told the whole
-    hold_ = Hold();
+  if (chance(t_.agent)) {  // its new life is told the whole
+    hold_ = StateCache();
     feed_hold();
   }
-  if (!ending_ && chance(t_.berth)) {
-    if (chance(0.5)) return start_berth();
+  if (!ending_ && chance(t_.pooler)) {
+    if (chance(0.5)) return start_pooler();
     ending_ = true;  // in order: what rests ends first, then what is open
     engine_->leave();
     engine_->close_idle();
@@ -157,7 +157,7 @@
       if (life == life_) engine_->abort_open();
     });
     later(450, [this, life = life_] {
-      if (life == life_) start_berth();
+      if (life == life_) start_pooler();
     });
   }
   if (away_ >= 0 && (t_.leave == 0 || chance(0.005))) {
@@ -212,7 +212,7 @@
 
 // --- the databases -------------------------------------------------------------------
 
-void SessionsWorld::open_server(berth::ConnId id, const Endpoint& at) {
+void SessionsWorld::open_server(pooler::ConnId id, const Endpoint& at) {
   auto& l = lines_[id];
   l.db = at.port - 1000;
   l.owed = 1;
@@ -221,15 +221,15 @@
   });
 }
 
-void SessionsWorld::to_server(berth::ConnId id, std::string bytes) {
+void SessionsWorld::to_server(pooler::ConnId id, std::string bytes) {
   auto& l = lines_[id];
   EXPECT_TRUE(l.open) << "written to a connection that was closed";
   for (auto& line : split(bytes)) {
     std::string_view rest = line;
-    if (wire::take(rest) == "QUERY") {
+    if (sql_protocol::take(rest) == "QUERY") {
       ++l.owed;
       EXPECT_EQ(l.owed, 1) << "a second statement before the first is answered";
-      std::string qid(wire::take(rest));
+      std::string qid(sql_protocol::take(rest));
       if (qid != "-") {
         auto a = asked_.find(qid);
         ASSERT_TRUE(a != asked_.end()) << "UNASKED: " << line;
@@ -250,7 +250,7 @@
   }
 }
 
-void SessionsWorld::close_server(berth::ConnId id, bool orderly) {
+void SessionsWorld::close_server(pooler::ConnId id, bool orderly) {
   auto& l = lines_[id];
   if (!l.open) return;
   l.open = false;
@@ -265,7 +265,7 @@
   });
 }
 
-void SessionsWorld::reset_line(berth::ConnId id) {
+void SessionsWorld::reset_line(pooler::ConnId id) {
   auto& l = lines_[id];
   if (!l.open) return;
   if (chance(0.5)) {
@@ -282,7 +282,7 @@
   });
 }
 
-void SessionsWorld::db_reads(berth::ConnId id) {
+void SessionsWorld::db_reads(pooler::ConnId id) {
   auto& l = lines_[id];
   Millis still = dbs_[std::size_t(l.db)].still_until;
   if (still > now_)
@@ -296,13 +296,13 @@
   }
 }
 
-void SessionsWorld::run(berth::ConnId id, const std::string& line) {
+void SessionsWorld::run(pooler::ConnId id, const std::string& line) {
   auto& l = lines_[id];
   std::string_view rest = line;
-  auto word = wire::take(rest);
+  auto word = sql_protocol::take(rest);
   if (word == "CONNECT") {
-    EXPECT_EQ(wire::take(rest), "s");
-    l.who = std::string(wire::take(rest));
+    EXPECT_EQ(sql_protocol::take(rest), "s");
+    l.who = std::string(sql_protocol::take(rest));
     if (!chance(t_.refuse)) return reply(id, {"IDLE I 1.1"}, "", "");
     return reply(id, {"STMTERR CONNLIMIT full"}, "", "");
   }
@@ -311,7 +311,7 @@
     return;
   }
   Db& d = dbs_[std::size_t(l.db)];
-  const std::string qid(wire::take(rest));
+  const std::string qid(sql_protocol::take(rest));
   std::string code;
   bool wrote = false;
   std::string body = statement(l, d, qid, rest, code, wrote);
@@ -329,11 +329,11 @@
                                      std::string& code, bool& wrote) {
   const bool leads = &d == &dbs_[std::size_t(primary_)];
   if (text.starts_with("WAITFOR ")) {
-    wire::take(text);
-    wire::take(text);
+    sql_protocol::take(text);
+    sql_protocol::take(text);
   }
-  auto st = wire::parse_statement(text);
-  if (l.state == 'E' && st.verb != wire::Verb::kRollback) return code = "MALFORMED", "";
+  auto st = sql_protocol::parse_statement(text);
+  if (l.state == 'E' && st.verb != sql_protocol::Verb::kRollback) return code = "MALFORMED", "";
   auto back = [&] {
     if (d.reverts) l.values = l.values_before, l.prepared = l.prepared_before;
     l.state = 'I';
@@ -343,10 +343,10 @@
   if (qid == "-") {
     if (chance(t_.refuse)) return code = "THROTTLED", "";
     if (text == "RESET") l.values.clear(), l.prepared.clear();
-    if (st.verb == wire::Verb::kConfigure) l.values[std::string(st.name)] = std::string(st.rest);
-    if (st.verb == wire::Verb::kPrepare) l.prepared[std::string(st.name)] = std::string(st.rest);
-    if (st.verb == wire::Verb::kRollback) back();
-    if (st.verb == wire::Verb::kBegin) {
+    if (st.verb == sql_protocol::Verb::kConfigure) l.values[std::string(st.name)] = std::string(st.rest);
+    if (st.verb == sql_protocol::Verb::kPrepare) l.prepared[std::string(st.name)] = std::string(st.rest);
+    if (st.verb == sql_protocol::Verb::kRollback) back();
+    if (st.verb == sql_protocol::Verb::kBegin) {
       EXPECT_EQ(l.state, 'I');
       if (!leads && !st.read_only) return code = "READONLY", "";
       l.state = 'T';
@@ -406,7 +406,7 @@
 
 // An answer sets out. What may befall it: it comes late or never, breaks off, comes twice, has something
 // behind it, or does not fit.
-void SessionsWorld::reply(berth::ConnId id, std::vector<std::string> lines, const std::string& qid,
+void SessionsWorld::reply(pooler::ConnId id, std::vector<std::string> lines, const std::string& qid,
                           const std::string& code) {
   if (!lines_[id].open) return;
   std::size_t whole = lines.size();
@@ -446,7 +446,7 @@
   deliver(id, std::move(lines), qid, code, whole);
 }
 
-void SessionsWorld::deliver(berth::ConnId id, std::vector<std::string> lines, const std::string& qid,
+void SessionsWorld::deliver(pooler::ConnId id, std::vector<std::string> lines, const std::string& qid,
                             const std::string& code, std::size_t whole) {
   auto& l = lines_[id];
   if (chance(t_.lost)) {
--- a/tests/sessions_world.h
+++ b/tests/pooler/session_cluster.h
@@ -1,6 +1,6 @@
-// A world around the berth's engine in which anything may go wrong with a connection at any moment: resets
+// A world around the pooler's engine in which anything may go wrong with a connection at any moment: resets
 // with bytes on their way, databases that stand still and go on, answers that come twice, break off or don't
-// fit, clients that vanish, promotes, lapsed leases, new lives of the tender and of the berth. The books at
+// fit, clients that vanish, promotes, lapsed leases, new lives of the agent and of the pooler. The books at
 // the databases and at the clients are kept apart and compared at each event.
 #pragma once
 #include <gtest/gtest.h>
@@ -8,16 +8,16 @@
 #include <queue>
 #include <random>
 
-#include "berth/engine.h"
-#include "ordinance/ordinance.h"
-#include "ordinance/records.h"
-#include "tender/hold.h"
+#include "agent/state_cache.h"
+#include "config/records.h"
+#include "config/update_validation.h"
+#include "pooler/engine.h"
 
 namespace pebblespindle::test {
 
 struct Troubles {  // the chances of one run, by statement, connection or ms
   double reset = 0, stall = 0, twice = 0, tail = 0, torn = 0, misfit = 0, lost = 0, refuse = 0;
-  double vanish = 0, promote = 0, lapse = 0, tender = 0, berth = 0, stray = 0, leave = 0;
+  double vanish = 0, promote = 0, lapse = 0, agent = 0, pooler = 0, stray = 0, leave = 0;
 };
 
 inline std::vector<std::string> split(const std::string& s) {
@@ -27,7 +27,7 @@
   return out;
 }
 
-class SessionsWorld : public berth::Port {
+class SessionsWorld : public pooler::Port {
  public:
   SessionsWorld(std::uint32_t seed, Troubles t);
   void step();
@@ -42,8 +42,8 @@
     std::string text, shape;
     bool write = false, commit = false, runs = false;
     Names values;
-    berth::ConnId at = 0;  // the connection it was last written to
-    bool not_run = true;   // it is known to the berth that nothing of it has run
+    pooler::ConnId at = 0;  // the connection it was last written to
+    bool not_run = true;    // it is known to the pooler that nothing of it has run
   };
   struct Step {
     std::string id, text;
@@ -53,7 +53,7 @@
   };
   struct Client {
     int index = 0, tx = 0, steps = 0;
-    berth::SessionId session = 0;
+    pooler::SessionId session = 0;
     bool open = false, failed = false;
     std::deque<Step> asked;           // sent and not answered, in order
     Names values, prepared;           // as acknowledged, with what is on its way behind it
@@ -63,7 +63,7 @@
   };
   struct Line {  // a connection, at its database
     int db = 0;
-    bool open = true, dark = false;  // open: the berth still has it; dark: its database has lost it
+    bool open = true, dark = false;  // open: the pooler still has it; dark: its database has lost it
     std::string who;
     Names values, prepared, values_before, prepared_before;
     char state = 'I';
@@ -71,7 +71,7 @@
     std::vector<std::string> writes;
     std::deque<std::string> in;  // not yet read by the database
     Millis last_out = 0;
-    int owed = 0;  // answers that the berth has not heard in whole
+    int owed = 0;  // answers that the pooler has not heard in whole
   };
   struct Db {
     std::string name;
@@ -90,20 +90,20 @@
   bool chance(double p) { return p > 0 && double(rng_()) < p * 4294967296.0; }
   void later(Millis in, std::function<void()> fn) { events_.push({now_ + in, ++order_, std::move(fn)}); }
 
-  void start_berth();
+  void start_pooler();
   void feed(const Json& update);
   void feed_hold();
   void grant();
   Instance instance(int db) const;
   void promote();
-  void reset_line(berth::ConnId id);
-  void db_reads(berth::ConnId id);
-  void run(berth::ConnId id, const std::string& line);
+  void reset_line(pooler::ConnId id);
+  void db_reads(pooler::ConnId id);
+  void run(pooler::ConnId id, const std::string& line);
   std::string statement(Line& l, Db& d, const std::string& id, std::string_view text, std::string& code,
                         bool& wrote);
-  void reply(berth::ConnId id, std::vector<std::string> lines, const std::string& qid,
+  void reply(pooler::ConnId id, std::vector<std::string> lines, const std::string& qid,
              const std::string& code);
-  void deliver(berth::ConnId id, std::vector<std::string> lines, const std::string& qid,
+  void deliver(pooler::ConnId id, std::vector<std::string> lines, const std::string& qid,
                const std::string& code, std::size_t whole);
   void commit(const std::vector<std::string>& writes);
   void act(Client& c);
@@ -112,15 +112,15 @@
   void ended(Client& c, const Step& s, char state);
   void gone(Client& c);
 
-  // berth::Port
-  void to_client(berth::SessionId, std::string) override;
-  void end_client(berth::SessionId) override;
-  void open_server(berth::ConnId, const Endpoint&) override;
-  void to_server(berth::ConnId, std::string) override;
-  void close_server(berth::ConnId, bool orderly) override;
+  // pooler::Port
+  void to_client(pooler::SessionId, std::string) override;
+  void end_client(pooler::SessionId) override;
+  void open_server(pooler::ConnId, const Endpoint&) override;
+  void to_server(pooler::ConnId, std::string) override;
+  void close_server(pooler::ConnId, bool orderly) override;
   void suspect(const InstanceId&, Trouble) override {}
   void sound(const std::string&) override;
-  void pay(const std::string&, tally::Rights) override;
+  void pay(const std::string&, quota::Rights) override;
   void full(const InstanceId&) override {}
   void slow(const InstanceId&) override {}
   void cleared(const InstanceId&) override {}
@@ -130,22 +130,22 @@
   Millis now_ = 1000;
   std::uint64_t order_ = 0;
   std::priority_queue<Event> events_;
-  std::unique_ptr<Timers> timers_;
-  std::unique_ptr<berth::Engine> engine_;
-  Ledger core_;
-  Hold hold_;
+  std::unique_ptr<TimerQueue> timers_;
+  std::unique_ptr<pooler::Engine> engine_;
+  StateTable core_;
+  StateCache hold_;
   std::vector<Db> dbs_;
   int primary_ = 0, away_ = -1;  // away: a replica that has left for a while
   bool held_ = false, ending_ = false;
-  std::map<std::string, tally::Rights> given_;  // to this life of the berth
+  std::map<std::string, quota::Rights> given_;  // to this life of the pooler
   Millis held_at_ = 0, lapse_until_ = 0;
   std::vector<Client> clients_;
-  std::map<berth::ConnId, Line> lines_;  // of this life of the berth
+  std::map<pooler::ConnId, Line> lines_;  // of this life of the pooler
   std::uint64_t life_ = 0;
   std::map<std::string, Asked> asked_;
   std::map<std::string, std::pair<std::string, std::vector<std::string>>> runs_;  // by stamp: id and rows
   std::set<std::string> kept_, promised_;
-  berth::SessionId last_session_ = 0;
+  pooler::SessionId last_session_ = 0;
   int last_id_ = 0, last_tx_ = 0, last_run_ = 0;
 };
 
--- a/tests/sessions_test.cc
+++ b/tests/pooler/session_simulation_test.cc
@@ -1,13 +1,13 @@
 // Answers to their own callers, writes at most once, promises that are true: seeded runs of the real engine.
 #include <cstdlib>
 
-#include "sessions_world.h"
+#include "pooler/session_cluster.h"
 
 namespace pebblespindle::test {
 
 // --- the clients ---------------------------------------------------------------------
 
-void SessionsWorld::to_client(berth::SessionId id, std::string bytes) {
+void SessionsWorld::to_client(pooler::SessionId id, std::string bytes) {
   later(1, [this, id, life = life_, bytes = std::move(bytes)] {
     if (life != life_) return;
     for (auto& c : clients_)
@@ -16,7 +16,7 @@
   });
 }
 
-void SessionsWorld::end_client(berth::SessionId id) {
+void SessionsWorld::end_client(pooler::SessionId id) {
   later(1, [this, id, life = life_] {
     if (life != life_) return;
     for (auto& c : clients_)
@@ -94,19 +94,21 @@
 
 void SessionsWorld::say(Client& c, const std::string& text, bool write, const std::string& shape) {
   if (!c.open) return;  // what was sent just before has ended it
-  auto st = wire::parse_statement(text);
-  if (st.verb == wire::Verb::kBegin) c.tx = ++last_tx_, c.steps = 0, c.writes.clear();
+  auto st = sql_protocol::parse_statement(text);
+  if (st.verb == sql_protocol::Verb::kBegin) c.tx = ++last_tx_, c.steps = 0, c.writes.clear();
   // Outside of a transaction these cannot fail, and hold for what is sent behind them.
-  if (st.verb == wire::Verb::kConfigure && !c.tx) c.values[std::string(st.name)] = std::string(st.rest);
-  if (st.verb == wire::Verb::kPrepare) c.prepared[std::string(st.name)] = std::string(st.rest);
+  if (st.verb == sql_protocol::Verb::kConfigure && !c.tx)
+    c.values[std::string(st.name)] = std::string(st.rest);
+  if (st.verb == sql_protocol::Verb::kPrepare) c.prepared[std::string(st.name)] = std::string(st.rest);
   Asked a;
   a.client = c.index;
   a.tx = c.tx;
   a.text = text;
   a.shape = shape;
   a.write = write;
-  a.commit = st.verb == wire::Verb::kCommit;
-  a.runs = write || a.commit || st.verb == wire::Verb::kFetch || st.verb == wire::Verb::kExecute;
+  a.commit = st.verb == sql_protocol::Verb::kCommit;
+  a.runs =
+      write || a.commit || st.verb == sql_protocol::Verb::kFetch || st.verb == sql_protocol::Verb::kExecute;
   a.values = c.values;
   std::string id = "q" + std::to_string(++last_id_);
   asked_[id] = a;
@@ -122,7 +124,7 @@
     return;
   }
   Step& s = c.asked.front();
-  auto word = wire::take(line);
+  auto word = sql_protocol::take(line);
   EXPECT_FALSE(word != "IDLE" && (s.done || s.error)) << "an answer goes on after its outcome";
   if (word == "DATAROW") {
     s.rows.push_back(std::string(line));
@@ -131,7 +133,7 @@
     s.stamp = std::string(line);
   } else if (word == "STMTERR") {
     s.error = true;
-    s.code = std::string(wire::take(line));
+    s.code = std::string(sql_protocol::take(line));
   } else {
     EXPECT_EQ(word, "IDLE");
     Step ended_step = std::move(s);
@@ -145,7 +147,7 @@
 void SessionsWorld::ended(Client& c, const Step& s, char state) {
   if (s.id == "connect") return;
   const Asked& a = asked_.at(s.id);
-  auto st = wire::parse_statement(a.text);
+  auto st = sql_protocol::parse_statement(a.text);
   EXPECT_TRUE(s.done || s.error);
   if (s.done) {
     ++served;
@@ -162,11 +164,12 @@
     }
     EXPECT_TRUE(!a.write || a.tx || kept_.count(s.id)) << "acknowledged and not kept";
     for (auto& w : c.writes) EXPECT_TRUE(!a.commit || kept_.count(w)) << "acknowledged and not kept";
-    if (st.verb == wire::Verb::kConfigure && a.tx) c.values[std::string(st.name)] = std::string(st.rest);
-    EXPECT_EQ(state, a.tx && !a.commit && st.verb != wire::Verb::kRollback ? 'T' : 'I') << a.text;
+    if (st.verb == sql_protocol::Verb::kConfigure && a.tx)
+      c.values[std::string(st.name)] = std::string(st.rest);
+    EXPECT_EQ(state, a.tx && !a.commit && st.verb != sql_protocol::Verb::kRollback ? 'T' : 'I') << a.text;
   } else {
     unknown += s.code == "UNKNOWN";
-    if (wire::is_promise(s.code)) {
+    if (sql_protocol::is_promise(s.code)) {
       ++promised_count;
       std::vector<std::string> ids = {s.id};
       if (a.tx) ids = c.writes;
@@ -189,8 +192,8 @@
 Troubles drawn(std::uint32_t seed) {
   std::mt19937 rng(seed * 7919 + 1);
   Troubles t;
-  double* all[] = {&t.reset,  &t.stall,   &t.twice, &t.tail,   &t.torn,  &t.misfit, &t.lost, &t.refuse,
-                   &t.vanish, &t.promote, &t.lapse, &t.tender, &t.berth, &t.stray,  &t.leave};
+  double* all[] = {&t.reset,  &t.stall,   &t.twice, &t.tail,  &t.torn,   &t.misfit, &t.lost, &t.refuse,
+                   &t.vanish, &t.promote, &t.lapse, &t.agent, &t.pooler, &t.stray,  &t.leave};
   const double most[] = {0.02,  0.003, 0.02,   0.02,  0.02,   0.02, 0.02, 0.03,
                          0.002, 0.002, 0.0005, 0.002, 0.0006, 0.01, 0.002};
   for (std::size_t i = 0; i < std::size(most); ++i)
--- a/tests/tally_test.cc
+++ b/tests/quota/quota_test.cc
@@ -5,17 +5,17 @@
 #include <deque>
 #include <random>
 
-#include "berth/purse.h"
-#include "tally/purser.h"
+#include "quota/quota_allocator.h"
+#include "quota/quota_client.h"
 
 namespace pebblespindle::test {
 namespace {
 
-using namespace tally;
-using berth::Purse;
+using namespace quota;
+using pooler::QuotaClient;
 
-TEST(Tally, RightsAreNeverMadeOrUsedTwice) {
-  Account a, b;
+TEST(Quota, RightsAreNeverMadeOrUsedTwice) {
+  BoundedCounter a, b;
   a.credit(5000);
   EXPECT_FALSE(a.debit(6000));
   EXPECT_TRUE(a.debit(1000));
@@ -30,8 +30,8 @@
   EXPECT_EQ(a.rights() + b.rights(), 4000);
 }
 
-TEST(Tally, AGiverGivesHalfAtMostAndNotTwiceForOneRequest) {
-  Purser p("core");
+TEST(Quota, AGiverGivesHalfAtMostAndNotTwiceForOneRequest) {
+  QuotaAllocator p("core");
   std::map<std::string, Tenant> t{{"x", {"x", {}, 100, 100, 1}}, {"free", {"free", {}, 0, 0, 1}}};
   for (Millis now = 0; now < 10000; now += 50) p.pass(now, t, 1);
   Rights had = p.rights("x");
@@ -52,9 +52,9 @@
   std::mt19937 rng;
   Millis now = 0;
   std::multimap<Millis, std::function<void()>> events;
-  std::vector<std::unique_ptr<Purser>> cores;
+  std::vector<std::unique_ptr<QuotaAllocator>> cores;
   struct Node {
-    std::unique_ptr<Purse> purse;
+    std::unique_ptr<QuotaClient> quota_client;
     std::string name;
     Holder core;
     int life = 0;
@@ -75,10 +75,11 @@
   w.rng.seed(seed);
   const int cores = 5, nodes = 20;
   std::map<std::string, Tenant> t{{"x", {"x", {}, rate, burst, 1}}};
-  for (int i = 0; i < cores; ++i) w.cores.push_back(std::make_unique<Purser>("c" + std::to_string(i)));
+  for (int i = 0; i < cores; ++i)
+    w.cores.push_back(std::make_unique<QuotaAllocator>("c" + std::to_string(i)));
   for (int i = 0; i < nodes; ++i) {
     w.nodes.emplace_back();
-    w.nodes.back().purse = std::make_unique<Purse>();
+    w.nodes.back().quota_client = std::make_unique<QuotaClient>();
     w.nodes.back().name = "n" + std::to_string(i);
   }
   std::deque<Millis> ran;
@@ -105,7 +106,7 @@
             w.send([&w, to = peer.get(), me = c->self(), s = c->sums()] { to->heard(me, w.now, s); });
     if (w.now % 3000 == 2999) {  // a node starts anew: another holder, without rights
       auto& n = w.nodes[std::size_t(w.pick(nodes))];
-      n.purse = std::make_unique<Purse>();
+      n.quota_client = std::make_unique<QuotaClient>();
       n.name += "'";
       n.core.clear();
       ++n.life;
@@ -114,17 +115,18 @@
     // Most of a tenant's clients are at few nodes.
     std::size_t which = std::size_t(w.chance(0.7) ? w.pick(3) : w.pick(nodes));
     auto& n = w.nodes[which];
-    auto o = n.purse->take(w.now, "x");
+    auto o = n.quota_client->take(w.now, "x");
     if (o.want > 0) {
-      Purser* c = w.cores[which % std::size_t(cores)].get();
-      w.send([&w, c, which, life = n.life, me = n.name, known = n.purse->known("x", n.core), want = o.want] {
+      QuotaAllocator* c = w.cores[which % std::size_t(cores)].get();
+      w.send([&w, c, which, life = n.life, me = n.name, known = n.quota_client->known("x", n.core),
+              want = o.want] {
         auto sum = c->ask("x", me, known, want);
         if (sum)
           w.send([&w, c, which, life, sum] {
             auto& to = w.nodes[which];
             if (to.life != life) return;
             to.core = c->self();
-            to.purse->paid(w.now, "x", c->self(), *sum);
+            to.quota_client->paid(w.now, "x", c->self(), *sum);
           });
       });
     }
@@ -144,7 +146,7 @@
   EXPECT_GT(admitted, 0);
 }
 
-TEST(Tally, NoWindowHoldsMoreThanItsGrant) {
+TEST(Quota, NoWindowHoldsMoreThanItsGrant) {
   for (std::uint32_t seed = 1; seed <= 4; ++seed) {
     day(seed, 5, 5, 3);
     day(seed, 30, 30, 20);
--- a/tests/worst_days_world.h
+++ b/tests/replication/faulty_cluster.h
@@ -5,10 +5,10 @@
 #include <cstdlib>
 #include <memory>
 
-#include "chain/shape.h"
-#include "chain_world.h"
-#include "ordinance/delivery.h"
-#include "tender/hold.h"
+#include "agent/state_cache.h"
+#include "config/config_delivery.h"
+#include "replication/message_validation.h"
+#include "replication/replica_cluster.h"
 
 namespace pebblespindle::test {
 
@@ -33,7 +33,7 @@
 // A machine that hangs at a core: holds a lease there and is fed, under the very conditions of the process.
 struct Hanger {
   std::string name, core;
-  Hold hold;
+  StateCache hold;
   Millis heard = -10000, renewed = 0;
 };
 
@@ -64,7 +64,7 @@
   std::string any() { return hosts[std::size_t(net.pick(int(hosts.size())))]; }
   Millis now() const { return net.now; }
 
-  // What a core does for a machine that hangs at it (Harbourmaster::on_tender).
+  // What a core does for a machine that hangs at it (Controller::on_agent).
   void serve(const std::string& host, Hanger& x, const Json& m) {
     if (!up(host)) return;
     Node& node = at(host);
@@ -82,7 +82,7 @@
   void feed(const std::string& host, const std::string& to, Delivery& d) {
     Node& node = at(host);
     if (!node.seated(now())) return;
-    d.go_on(node.ledger(), node.committed(), node.serves(now()), news[host], [&](const std::string& line) {
+    d.go_on(node.state(), node.committed(), node.serves(now()), news[host], [&](const std::string& line) {
       shows_all(node, "a feed");
       net.send(host, to, {{"t", "line"}, {"l", line}});
     });
@@ -90,7 +90,7 @@
   // Whatever is handed out holds all that was acknowledged to anyone before.
   void shows_all(Node& node, const char* what) {
     for (auto& w : writers)
-      ASSERT_GE(value_of(node.ledger().find(w.key)), w.acked)
+      ASSERT_GE(value_of(node.state().find(w.key)), w.acked)
           << node.self() << " hands out " << what << " that lacks an acknowledged change of " << w.key;
   }
   // A redirect rests on a view that is the newest, or was within the last second.
@@ -208,7 +208,7 @@
       tails += node.tail() && node.seated(now());
       if (node.settled() && node.committed() > checked[host]) {
         checked[host] = node.committed();
-        const Row* r = node.ledger().find("race");
+        const Row* r = node.state().find("race");
         ASSERT_FALSE(r && refused.count(value_of(r))) << "what was refused is in force: " << r->value;
       }
     }
@@ -226,12 +226,12 @@
     auto& v = newest().view();
     EXPECT_EQ(v.voters.size(), std::min(running, 2 * losses + 1)) << now();
     for (auto& name : v.voters) {
-      std::string host = chain::host_of(name);
+      std::string host = replication::host_of(name);
       ASSERT_TRUE(up(host) && at(host).self() == name) << name << " votes and is gone, at " << now();
       EXPECT_TRUE(v.has(name)) << name << " votes and is no member";
     }
     for (auto& m : v.members) {
-      Node& node = at(chain::host_of(m.name));
+      Node& node = at(replication::host_of(m.name));
       EXPECT_TRUE(node.self() == m.name && node.in_step()) << m.name << " is not in step at " << now();
       shows_all(node, "a place");
     }
--- a/tests/golden_messages_test.cc
+++ b/tests/replication/golden_messages_test.cc
@@ -5,15 +5,15 @@
 #include <deque>
 #include <fstream>
 
-#include "chain/node.h"
-#include "chain/shape.h"
-#include "ordinance/ordinance.h"
-#include "sim_net.h"
+#include "config/update_validation.h"
+#include "replication/message_validation.h"
+#include "replication/replica.h"
+#include "replication/simulated_network.h"
 
 namespace pebblespindle::test {
 namespace {
 
-using chain::Node;
+using replication::Node;
 
 const char* const kHead = "10.1.0.4";
 const char* const kMiddle = "10.2.0.4";
@@ -36,7 +36,8 @@
   }
   void stop(const std::string& host) {
     cores_[host]->node.reset();
-    std::erase_if(network_, [&](auto& sent) { return sent.to == host || chain::host_of(sent.from) == host; });
+    std::erase_if(network_,
+                  [&](auto& sent) { return sent.to == host || replication::host_of(sent.from) == host; });
   }
   void wipe(const std::string& host) { cores_[host]->disk = MemoryDisk(); }
   void cut_off(const std::string& host) { cut_off_ = host; }
@@ -52,7 +53,7 @@
   }
   int submit(const std::string& host, const Json& update) {
     int status = -1;
-    cores_[host]->node->submit(now_, update, [&](chain::Answer answer) { status = answer.status; });
+    cores_[host]->node->submit(now_, update, [&](replication::Answer answer) { status = answer.status; });
     run(constants::kSubmitGiveUpMs + 50);
     return status;
   }
@@ -69,15 +70,16 @@
   }
 
  private:
-  struct Core : chain::Outlet {
+  struct Core : replication::Outlet {
     explicit Core(Scenario& owner) : scenario(owner) {}
     void send(const std::string& to, const Json& message) override {
       scenario.record(message);
       if (node)
-        scenario.network_.push_back({scenario.now_ + kDelayMs, node->self(), chain::host_of(to), message});
+        scenario.network_.push_back(
+            {scenario.now_ + kDelayMs, node->self(), replication::host_of(to), message});
     }
-    chain::Verdict judge(const Ledger& ledger, const Json& update) override {
-      return judge_update(ledger, update);
+    replication::Verdict judge(const StateTable& state, const Json& update) override {
+      return judge_update(state, update);
     }
     void committed(std::uint64_t) override {}
     void note(const std::string&) override {}
@@ -95,7 +97,7 @@
     while (!network_.empty() && network_.front().at <= now_) {
       const Sent next = network_.front();
       network_.pop_front();
-      if (next.to == cut_off_ || chain::host_of(next.from) == cut_off_) continue;
+      if (next.to == cut_off_ || replication::host_of(next.from) == cut_off_) continue;
       if (auto& core = cores_[next.to]; core && core->node)
         core->node->receive(now_, next.from, next.message);
     }
@@ -183,7 +185,7 @@
   EXPECT_EQ(cores.submit(kHead, instance("i-c3", "west", 3, 4)), 200);
   EXPECT_EQ(cores.submit(kHead, instance("i-d4", "west", 4, 2)), 200);
   EXPECT_EQ(cores.submit(kTail, leave_update({"i-d4"})), 200);
-  const std::string current = cores.at(kHead).ledger().find(lead_key("store"))->value;
+  const std::string current = cores.at(kHead).state().find(lead_key("store"))->value;
   Lead next = *Lead::from(current);
   next.hold = next.planned = true;
   next.term = 3;
@@ -250,18 +252,18 @@
   for (auto& line : lines) {
     const Json message = Json::parse(line);
     EXPECT_EQ(message.dump(), line);
-    EXPECT_TRUE(chain::well_formed(message)) << line;
+    EXPECT_TRUE(replication::well_formed(message)) << line;
     for (auto& [field, value] : message.items()) {
       Json wrong = message;
       wrong[field] = Json{{"no", "such"}};
       const bool free_form =
           field == "st" || (field == "u" && message["t"] == "sub");  // checked where it is used
-      EXPECT_EQ(chain::well_formed(wrong), free_form) << wrong;
+      EXPECT_EQ(replication::well_formed(wrong), free_form) << wrong;
     }
   }
-  EXPECT_FALSE(chain::well_formed(Json::array()));
-  EXPECT_FALSE(chain::well_formed(Json{{"n", 1}}));
-  EXPECT_TRUE(chain::well_formed(Json{{"t", "of-a-newer-release"}}));
+  EXPECT_FALSE(replication::well_formed(Json::array()));
+  EXPECT_FALSE(replication::well_formed(Json{{"n", 1}}));
+  EXPECT_TRUE(replication::well_formed(Json{{"t", "of-a-newer-release"}}));
 }
 
 }  // namespace
--- a/tests/chain_world.h
+++ b/tests/replication/replica_cluster.h
@@ -6,27 +6,27 @@
 #include <cstdlib>
 #include <memory>
 
-#include "chain/node.h"
-#include "keel/constants.h"
-#include "sim_net.h"
+#include "base/constants.h"
+#include "replication/replica.h"
+#include "replication/simulated_network.h"
 
 namespace pebblespindle::test {
 
-using chain::Answer;
-using chain::Node;
+using replication::Answer;
+using replication::Node;
 
 struct Fleet;
 
-struct Core : chain::Outlet {
+struct Core : replication::Outlet {
   Fleet& fleet;
   std::string host;
   MemoryDisk disk;
   std::unique_ptr<Node> node;
   Core(Fleet& f, std::string h) : fleet(f), host(std::move(h)) {}
   void send(const std::string& to, const Json& m) override;
-  chain::Verdict judge(const Ledger& ledger, const Json& u) override {
+  replication::Verdict judge(const StateTable& state, const Json& u) override {
     // {key, expect, value}: a compare-and-set, as the configuration and the leads use it.
-    const Row* r = ledger.find(u["key"]);
+    const Row* r = state.find(u["key"]);
     std::string current = r ? r->value : "";
     if (current == u["value"]) return {};
     if (current != u["expect"]) return {412, "lost the race", {}};
@@ -97,7 +97,7 @@
   void check_history() {
     for (auto& host : hosts) {
       if (!up(host) || !at(host).settled()) continue;
-      for (auto& r : at(host).ledger().since(0)) {
+      for (auto& r : at(host).state().since(0)) {
         auto [it, fresh] = history.emplace(r.number, r);
         ASSERT_EQ(it->second, r) << "number " << r.number << " stands for two rows";
       }
@@ -128,7 +128,7 @@
 };
 
 inline void Core::send(const std::string& to, const Json& m) {
-  fleet.net.send(node ? node->self() : host, chain::host_of(to), m);
+  fleet.net.send(node ? node->self() : host, replication::host_of(to), m);
 }
 inline void Core::note(const std::string& t) {
   if (std::getenv("CHAIN_NOTES"))
--- a/tests/worst_days_test.cc
+++ b/tests/replication/replica_faults_test.cc
@@ -1,7 +1,7 @@
 // The core on its worst days, on the simulated network: the code of the process, and after each step what
 // must hold. docs/worst-days.md tells the argument; each guard named there has a test here that fails without
 // it.
-#include "worst_days_world.h"
+#include "replication/faulty_cluster.h"
 
 namespace pebblespindle::test {
 namespace {
@@ -21,7 +21,7 @@
         auto& one = which == 0   ? m.front()
                     : which == 1 ? m.back()
                                  : m[std::size_t(d.net.pick(int(m.size())))];
-        return chain::host_of(one.name);
+        return replication::host_of(one.name);
       }
     return d.any();
   };
@@ -101,7 +101,7 @@
   Days d(4, 3, 3, 1);
   d.go(1500);
   Node& head = d.at(d.at("core0").view().head());
-  auto before = head.ledger().stored();
+  auto before = head.state().stored();
   auto offer = [&](std::uint64_t view) {
     head.receive(d.now(), "core2",
                  {{"t", "sub"},
@@ -111,9 +111,9 @@
                   {"u", {{"key", "k0"}, {"expect", ""}, {"value", "1"}}}});
   };
   offer(head.view().number - 1);
-  EXPECT_EQ(head.ledger().stored(), before);
+  EXPECT_EQ(head.state().stored(), before);
   offer(head.view().number);
-  EXPECT_EQ(head.ledger().stored(), before + 1);
+  EXPECT_EQ(head.state().stored(), before + 1);
 }
 
 // The tail's word is an acknowledgement. Without a seat it keeps it to itself, though the change has come.
@@ -122,8 +122,8 @@
   d.go(1500);
   auto view = d.at("core0").view();
   Node& tail = d.at(view.tail());
-  auto n = tail.ledger().stored();
-  d.cut_off(chain::host_of(view.tail()), true);
+  auto n = tail.state().stored();
+  d.cut_off(replication::host_of(view.tail()), true);
   d.go(980);
   ASSERT_FALSE(tail.seated(d.now()));
   ASSERT_EQ(tail.view().number, view.number);
@@ -138,7 +138,7 @@
                 {"k", n + 1},
                 {"r", Json::array({Json::array({"k0", n + 1, "1"})})},
                 {"o", Json::array({Json::array({n + 1, view.head(), 5})})}});
-  ASSERT_EQ(tail.ledger().stored(), n + 1);
+  ASSERT_EQ(tail.state().stored(), n + 1);
   for (int i = 0; i < 20; ++i) d.net.step(), tail.tick(d.now());
   EXPECT_EQ(acks, 0);
 }
@@ -225,16 +225,17 @@
       Node& node = d.at(d.any());
       auto committed = node.committed();
       std::map<std::string, std::string> kept;
-      for (auto& r : node.ledger().since(0))
+      for (auto& r : node.state().since(0))
         if (r.number <= committed) kept[r.key] = r.value;
       // What is well formed and only says something else than was meant is not told from a true word.
-      bool true_looking = chain::well_formed(m) && (m["t"] == "up" || m["t"] == "sub" || m["t"] == "dec");
+      bool true_looking =
+          replication::well_formed(m) && (m["t"] == "up" || m["t"] == "sub" || m["t"] == "dec");
       if (true_looking) continue;
       node.receive(d.now(), from, m);
       ASSERT_EQ(node.committed(), committed) << m;
       for (auto& [key, value] : kept) {
-        ASSERT_TRUE(node.ledger().find(key)) << m;
-        ASSERT_EQ(node.ledger().find(key)->value, value) << m;
+        ASSERT_TRUE(node.state().find(key)) << m;
+        ASSERT_EQ(node.state().find(key)->value, value) << m;
       }
     }
     d.go(3000);  // and they go on
@@ -420,7 +421,7 @@
     d.busy = true;
     d.go(500);
     auto before = d.at("core0").view();
-    std::string one = chain::host_of(before.members[seed % 3].name);
+    std::string one = replication::host_of(before.members[seed % 3].name);
     ASSERT_TRUE(d.at(one).view().votes(one));
     longest = std::max(longest, end_in_order(d, one));
     auto& v = d.newest().view();
@@ -455,7 +456,7 @@
     SCOPED_TRACE(seed);
     Days d(seed, 5, 3, 2);
     d.go(6000);
-    std::string last = chain::host_of(d.newest().view().tail());
+    std::string last = replication::host_of(d.newest().view().tail());
     d.cut_off(last, true);
     d.go(3000);
     d.net.cuts.clear();
@@ -463,7 +464,7 @@
     for (Millis end = d.now() + 3000;
          d.now() < end && d.newest().view().number == number && !testing::Test::HasFailure();)
       d.go(1);
-    std::string second = chain::host_of(d.newest().view().members[1].name);
+    std::string second = replication::host_of(d.newest().view().members[1].name);
     d.stop(second, true);
     d.go(10 * Millis(seed));
     d.start(second);
--- a/tests/chain_test.cc
+++ b/tests/replication/replica_test.cc
@@ -2,7 +2,7 @@
 // history, and nothing that was acknowledged is lost.
 #include <gtest/gtest.h>
 
-#include "chain_world.h"
+#include "replication/replica_cluster.h"
 
 namespace pebblespindle::test {
 namespace {
@@ -180,7 +180,7 @@
   EXPECT_EQ(acked, offered);
   for (auto& h : f.hosts) {
     EXPECT_LE(f.cores[h]->rises, 20) << h;
-    EXPECT_EQ(f.at(h).ledger().since(0).size(), std::size_t(offered));
+    EXPECT_EQ(f.at(h).state().since(0).size(), std::size_t(offered));
   }
 }
 
@@ -259,7 +259,7 @@
   f.cores["core2"]->disk.full = false;
   f.run(4000);
   EXPECT_TRUE(f.at("core2").seated(f.net.now));
-  EXPECT_EQ(f.at("core2").ledger().find("l")->value, "v");
+  EXPECT_EQ(f.at("core2").state().find("l")->value, "v");
 }
 
 // What a write that the disk refused would have stored is known to nobody once the disk is well again.
--- a/tests/sim_net.h
+++ b/tests/replication/simulated_network.h
@@ -7,8 +7,8 @@
 #include <set>
 #include <string>
 
-#include "keel/schema.h"
-#include "ledger/ledger.h"
+#include "base/json_schema.h"
+#include "storage/state_table.h"
 
 namespace pebblespindle::test {
 
--- a/tests/catch_up_test.cc
+++ b/tests/replication/state_transfer_test.cc
@@ -1,6 +1,6 @@
 // Catching up: a member is sent what it lacks, a newcomer a whole state in pieces, and half a state is never
 // used.
-#include "chain_world.h"
+#include "replication/replica_cluster.h"
 #include "seeds.h"
 
 namespace pebblespindle::test {
@@ -42,7 +42,7 @@
   }
 };
 
-std::vector<Row> by_key(const Ledger& l) {
+std::vector<Row> by_key(const StateTable& l) {
   auto rows = l.since(0);
   std::sort(rows.begin(), rows.end(), [](const Row& a, const Row& b) { return a.key < b.key; });
   return rows;
@@ -67,7 +67,7 @@
       f.run(4000);
       EXPECT_NE(status, -1);
       EXPECT_TRUE(f.stands(host));
-      EXPECT_EQ(by_key(f.at(host).ledger()), by_key(f.at("core1").ledger()));
+      EXPECT_EQ(by_key(f.at(host).state()), by_key(f.at("core1").state()));
       for (auto& [to, n] : f.bytes) EXPECT_LT(n, 1000 * 300 / 20) << to;
     }
   }
@@ -92,7 +92,7 @@
   }
   f.run(2000);
   EXPECT_TRUE(f.stands("core2"));
-  EXPECT_EQ(by_key(f.at("core2").ledger()), by_key(f.at("core0").ledger()));
+  EXPECT_EQ(by_key(f.at("core2").state()), by_key(f.at("core0").state()));
   EXPECT_LT(f.longest, constants::kMaxLinkBytes / 4);
   EXPECT_LT(f.bytes["core2"], 900 * 10000 * 6 / 5) << "sent again";
   EXPECT_GT(changes, asked / 2) << "the chain stood still";
@@ -117,18 +117,18 @@
   const std::size_t before = f.at("core3").taken();
   ASSERT_GT(before, 100u);
   ASSERT_LT(before, 700u);
-  EXPECT_EQ(f.at("core3").ledger().size(), 0u) << "half a state is in use";
+  EXPECT_EQ(f.at("core3").state().size(), 0u) << "half a state is in use";
   // The core dies, and so does the one it took the state from: another one goes on.
   f.stop("core3");
   f.stop(f.at("core0").view().tail());
   f.run(300);
   f.start("core3");
   EXPECT_EQ(f.at("core3").taken(), before) << "what was taken is on the disk";
-  EXPECT_EQ(f.at("core3").ledger().size(), 0u);
+  EXPECT_EQ(f.at("core3").state().size(), 0u);
   f.bytes.clear();
   f.run(6000);
   EXPECT_TRUE(f.stands("core3"));
-  EXPECT_EQ(by_key(f.at("core3").ledger()), by_key(f.at("core0").ledger()));
+  EXPECT_EQ(by_key(f.at("core3").state()), by_key(f.at("core0").state()));
   EXPECT_LT(f.bytes["core3"], (800 - before) * 400 * 6 / 5) << "what was there was sent again";
 }
 
@@ -146,13 +146,13 @@
     f.at("core0").submit(f.net.now, {{"key", "lost"}, {"expect", ""}, {"value", "x"}}, [](Answer) {});
     f.at("core0").submit(f.net.now, {{"key", "a"}, {"expect", "1"}, {"value", "x"}}, [](Answer) {});
     f.run(5);
-    const std::uint64_t number = f.at("core0").ledger().stored();
+    const std::uint64_t number = f.at("core0").state().stored();
     f.stop("core0");
     f.lost = {};
     f.run(3000);
     ASSERT_EQ(f.submit("core1", "b", "", "1"), 200);
     ASSERT_EQ(f.submit("core1", "c", "", "1"), 200);
-    ASSERT_GE(f.at("core1").ledger().stored(), number);
+    ASSERT_GE(f.at("core1").state().stored(), number);
     f.start("core0");
     f.run(4000);
     ASSERT_TRUE(f.stands("core0"));
@@ -160,9 +160,9 @@
       f.stop("core1");
       f.run(3000);
     }
-    EXPECT_EQ(f.at("core0").ledger().find("lost"), nullptr);
-    EXPECT_EQ(f.at("core0").ledger().find("a")->value, "1");
-    EXPECT_EQ(by_key(f.at("core0").ledger()), by_key(f.at("core2").ledger()));
+    EXPECT_EQ(f.at("core0").state().find("lost"), nullptr);
+    EXPECT_EQ(f.at("core0").state().find("a")->value, "1");
+    EXPECT_EQ(by_key(f.at("core0").state()), by_key(f.at("core2").state()));
   }
 }
 
@@ -177,20 +177,20 @@
   ASSERT_EQ(f.submit("core0", "b", "1", ""), 200);
   for (auto* host : {"core0", "core1"}) {
     f.at(host).trim(f.net.now, 1000);
-    EXPECT_TRUE(f.at(host).ledger().find_any("b")) << "gone a moment ago";
+    EXPECT_TRUE(f.at(host).state().find_any("b")) << "gone a moment ago";
     f.at(host).trim(f.net.now + constants::kTrimAfterMs, 1);
-    EXPECT_TRUE(f.at(host).ledger().find_any("b")) << "a node has not heard of it";
+    EXPECT_TRUE(f.at(host).state().find_any("b")) << "a node has not heard of it";
     f.at(host).trim(f.net.now + 2 * constants::kTrimAfterMs, 1000);
-    EXPECT_FALSE(f.at(host).ledger().find_any("b"));
+    EXPECT_FALSE(f.at(host).state().find_any("b"));
     EXPECT_FALSE(f.cores[host]->disk.stored_rows.count("b"));
   }
   f.start("core2");
   f.run(4000);
   EXPECT_TRUE(f.stands("core2"));
-  EXPECT_FALSE(f.at("core2").ledger().find_any("b")) << "what is gone lives on";
+  EXPECT_FALSE(f.at("core2").state().find_any("b")) << "what is gone lives on";
   f.stop("core1");
   f.start("core1");
-  EXPECT_GT(f.at("core1").ledger().trimmed(), 0u) << "it is on the disk";
+  EXPECT_GT(f.at("core1").state().trimmed(), 0u) << "it is on the disk";
 }
 
 // A disk put back to an older copy: the next member has been sent more.
@@ -206,7 +206,7 @@
   f.run(5000);
   EXPECT_EQ(f.read("core0", "a"), "2");
   EXPECT_EQ(f.submit("core1", "a", "2", "3"), 200);
-  EXPECT_EQ(f.at("core0").ledger().find("a")->value, "3");
+  EXPECT_EQ(f.at("core0").state().find("a")->value, "3");
 }
 
 // A newcomer whose questions are answered by the test alone.
@@ -248,8 +248,8 @@
   f.piece(true, "a", true);
   ASSERT_EQ(f.newcomer().taken(), 1u);
   f.piece(false, "b", false, 2);
-  EXPECT_EQ(f.newcomer().ledger().size(), 2u);
-  EXPECT_EQ(f.newcomer().ledger().find("of another"), nullptr);
+  EXPECT_EQ(f.newcomer().state().size(), 2u);
+  EXPECT_EQ(f.newcomer().state().find("of another"), nullptr);
   EXPECT_EQ(f.cores["core2"]->disk.stored_rows.count("of another"), 0u) << "it comes back with a restart";
   EXPECT_EQ(f.cores["core2"]->disk.stored_rows.size(), 2u);
 }
@@ -259,7 +259,7 @@
   f.piece(true, "a", true);
   ASSERT_EQ(f.newcomer().taken(), 1u);
   f.piece(false, "b", false, 3);
-  EXPECT_EQ(f.newcomer().ledger().size(), 0u);
+  EXPECT_EQ(f.newcomer().state().size(), 0u);
   EXPECT_FALSE(f.newcomer().taking());
   EXPECT_TRUE(f.cores["core2"]->disk.staged_rows.empty());
 }
@@ -303,12 +303,12 @@
   ASSERT_EQ(f.submit("core0", "a", "", "1"), 200);
   auto view = f.at("core0").view();
   Node& next = f.at(view.members[1].name);
-  const std::uint64_t k = next.ledger().stored();
+  const std::uint64_t k = next.state().stored();
   auto up = [&](std::uint64_t term) {
     Json m{{"t", "up"},  {"n", view.number}, {"base", k},
            {"bt", term}, {"k", k + 1},       {"r", Json::array({Json::array({"b", k + 1, "1"})})}};
     next.receive(f.net.now, view.head(), Json::parse(m.dump()));
-    return next.ledger().stored();
+    return next.state().stored();
   };
   EXPECT_EQ(up(view.headed + 1), k);
   EXPECT_EQ(up(view.headed), k + 1);
@@ -390,7 +390,7 @@
   ASSERT_NO_FATAL_FAILURE(f.run(5000));
   auto live = [&](const std::string& host) {
     std::map<std::string, std::string> out;
-    for (auto& r : f.at(host).ledger().since(0))
+    for (auto& r : f.at(host).state().since(0))
       if (!r.gone) out[r.key] = r.value;
     return out;
   };
@@ -421,7 +421,7 @@
 }
 
 TEST(CatchUp, TheLedgerWalksInOrderWithinItsBounds) {
-  Ledger l;
+  StateTable l;
   std::mt19937 rng(1);
   for (std::uint64_t n = 1; n <= 400; ++n)
     l.put({"k" + std::to_string(rng() % 120), std::string(rng() % 50, 'v'), n, rng() % 5 == 0});
@@ -430,9 +430,9 @@
   EXPECT_TRUE(std::is_sorted(rows.begin(), rows.end(), [](auto& a, auto& b) { return a.number < b.number; }));
   for (bool keys : {true, false}) {
     std::vector<Row> walked;
-    Ledger::Walk w;
+    StateTable::Walk w;
     std::string cursor;
-    Ledger::Place place;
+    StateTable::Place place;
     do {
       w = keys ? l.by_key(cursor, 200) : l.by_number(place, 200);
       ASSERT_FALSE(w.rows.empty());
--- a/tests/answers_test.cc
+++ b/tests/sidecar/answers_test.cc
@@ -1,7 +1,7 @@
 // Answers to their own callers, requests at most once, promises that stay true: the mesh under everything
 // that may end a connection, a process or a database in the middle of its work.
-#include "answers_databases.h"
-#include "lighter/beats.h"
+#include "sidecar/instance_heartbeats.h"
+#include "sidecar/scripted_databases.h"
 
 namespace pebblespindle::test::mesh {
 namespace {
@@ -46,21 +46,21 @@
 // --- one half at a time -----------------------------------------------------------
 
 struct Start : OutPort {  // where requests begin
-  Timers timers;
-  Chart chart;
+  TimerQueue timers;
+  ClusterState cluster;
   Millis now = 1000;
   std::map<CallId, Reply> answers;
   std::vector<std::pair<Endpoint, Json>> offers;
   std::vector<std::uint64_t> withdrawn;
   std::set<std::uint64_t> held;  // offers whose link is being dialled
-  Outbound out{*this, timers, chart, {"z0", "caller", 0.2, 3.0, 10000, 7}};
+  Outbound out{*this, timers, cluster, {"z0", "caller", 0.2, 3.0, 10000, 7}};
   Start() {
     World w(1);
     for (int i : {5, 6}) {  // so that there is always another to ask
       Instance in{{"more" + std::to_string(i)}, "s", "z0", World::where(i), 2, false, false, 1};
       w.rows.push_back({instance_key(in.id), in.json().dump(), 1, false});
     }
-    chart.apply(1, w.rows);
+    cluster.apply(1, w.rows);
     step(0);
     out.fleet(1);
     out.sure(true);
@@ -84,7 +84,7 @@
   void ask(CallId id, bool safe) {
     out.call(id, {"GET", safe ? "/s/safe/x" : "/s/once/x", "", {{"Host", "h"}, {kIdField, "q"}}});
   }
-  std::uint64_t n(std::size_t i) const { return lighter::number(offers.at(i).second, "n"); }
+  std::uint64_t n(std::size_t i) const { return sidecar::number(offers.at(i).second, "n"); }
   void say(std::size_t i, Json m) {
     m["n"] = n(i);
     out.frame(offers.at(i).first, m);
@@ -204,7 +204,7 @@
 // --- beside a database ------------------------------------------------------------
 
 struct Beside : InPort {
-  Timers timers;
+  TimerQueue timers;
   Millis now = 1000;
   Inbound in{*this, timers};
   std::map<std::uint64_t, Json> replies;
@@ -435,19 +435,19 @@
 // --- beats ------------------------------------------------------------------------
 
 TEST(Answers, TheEndOfADatabaseIsNotAcknowledgedByTheAnswerToItsBeat) {
-  Timers timers;
-  Beats beats(timers);
+  TimerQueue timers;
+  InstanceHeartbeats beats(timers);
   std::vector<std::pair<std::string, int>> done;
   auto to = [&](const char* who) { return [&done, who](int status) { done.emplace_back(who, status); }; };
   beats.ask(0, {"a"}, 0, to("beat"));
-  beats.ask(0, {"a"}, Beats::kEnd, to("end"));
+  beats.ask(0, {"a"}, InstanceHeartbeats::kEnd, to("end"));
   beats.answered({"a"}, 0, 200);
   beats.answered({"a"}, 0, 200);  // relayed again
   EXPECT_EQ(done, (std::vector<std::pair<std::string, int>>{{"beat", 200}}));
-  beats.ask(500, {"a"}, Beats::kEnd, to("end again"));
+  beats.ask(500, {"a"}, InstanceHeartbeats::kEnd, to("end again"));
   timers.run(constants::kBeatAnswerMs);  // the first one's time is up, the second one's is not
   EXPECT_EQ(done.back(), (std::pair<std::string, int>{"end", 503}));
-  beats.answered({"a"}, Beats::kEnd, 200);
+  beats.answered({"a"}, InstanceHeartbeats::kEnd, 200);
   EXPECT_EQ(done.back(), (std::pair<std::string, int>{"end again", 200}));
 }
 
--- a/tests/answers_world.h
+++ b/tests/sidecar/mesh_cluster.h
@@ -1,4 +1,4 @@
-// A small mesh in bytes and milliseconds: clients with pipelines, both halves of every lighter, the links
+// A small mesh in bytes and milliseconds: clients with pipelines, both halves of every sidecar, the links
 // between them with their dials, stalls and resets, and databases that break off, repeat themselves, fall
 // silent or start anew. The engines, the pipelines and all readers are the real ones; only sockets are
 // played.
@@ -9,16 +9,16 @@
 #include <deque>
 #include <memory>
 
-#include "lighter/app_reader.h"
-#include "lighter/frame.h"
-#include "lighter/inbound.h"
-#include "lighter/outbound.h"
-#include "lighter/pipeline.h"
-#include "ordinance/ordinance.h"
+#include "config/update_validation.h"
+#include "sidecar/app_response_reader.h"
+#include "sidecar/frame.h"
+#include "sidecar/inbound.h"
+#include "sidecar/outbound.h"
+#include "sidecar/pipeline.h"
 
 namespace pebblespindle::test::mesh {
 
-using namespace lighter;
+using namespace sidecar;
 
 constexpr int kShips = 4, kDatabaseSlots = 2;
 constexpr Millis kRouteMs = 300, kStallMs = 120;
@@ -26,7 +26,7 @@
 struct Writing {  // one time that a request was written to a database
   std::string life;
   int conn = 0;
-  bool denied = false;  // the lighter beside has read the database's word that it has not run
+  bool denied = false;  // the sidecar beside has read the database's word that it has not run
 };
 
 struct Try {
@@ -35,7 +35,7 @@
   std::vector<Writing> writings;
   int runs = 0, answers = 0, status = 0;
   bool promised = false;  // that it has not run and never will
-  bool gone = false;      // its client or its lighter has ended
+  bool gone = false;      // its client or its sidecar has ended
   int ship = 0;
   Millis began = 0;
 };
@@ -61,7 +61,7 @@
   bool closed = false;
 };
 
-struct Link {  // one lighter's link to another
+struct Link {  // one sidecar's link to another
   int from = 0, to = 0;
   Endpoint at;
   std::uint64_t to_life = 0;
@@ -75,20 +75,20 @@
   int serial = 0;
   std::string life;
   bool up = false;
-  AppReader reader;                                                    // the lighter's side
+  AppResponseReader reader;                                            // the sidecar's side
   HttpReader requests{HttpReader::Kind::kRequests, 1 << 16, 1 << 20};  // the database's side
   std::vector<std::string> before;                                     // ids it has carried
   std::string carries;                                                 // the one written last
   std::vector<int> runs;                                               // without a whole answer
-  std::deque<std::pair<Millis, std::string>> out;                      // to the lighter; empty bytes: reset
+  std::deque<std::pair<Millis, std::string>> out;                      // to the sidecar; empty bytes: reset
 };
 
 struct Ship : OutPort, InPort {
   World& w;
   int no;
   std::uint64_t life;
-  Timers timers;
-  Chart chart;
+  TimerQueue timers;
+  ClusterState cluster;
   Outbound out;
   Inbound in;
   std::map<CallId, std::shared_ptr<ClientConn>> calls;
@@ -143,7 +143,7 @@
 
   // --- troubles ---------------------------------------------------------------
   void new_database(int i, const std::string& of_service);
-  void tell(int i);  // the beat reaches the lighter
+  void tell(int i);  // the beat reaches the sidecar
   void kill(int i);
   void reset(const std::shared_ptr<Link>& l);
   void trouble();
@@ -171,10 +171,10 @@
     : w(world),
       no(n),
       life(world.lives[std::size_t(n)]),
-      out(*this, timers, chart,
+      out(*this, timers, cluster,
           {"z" + std::to_string(n % 2), "caller", 0.5, 20.0, 10000, std::uint32_t(world.rng())}),
       in(*this, timers) {
-  chart.apply(w.number, w.rows);
+  cluster.apply(w.number, w.rows);
   set_time();
   out.fleet(kShips);
   out.sure(true);
@@ -314,7 +314,7 @@
       if (world.lives[std::size_t(n)] != l) return;
       set_time();
       auto m = unpacked(bytes);
-      text(*m, "t") == "q" ? in.offer(0, *m) : in.cancel(0, lighter::number(*m, "n"));
+      text(*m, "t") == "q" ? in.offer(0, *m) : in.cancel(0, sidecar::number(*m, "n"));
     });
     return;
   }
@@ -329,7 +329,7 @@
             [&world = w, link = l] { world.dial_done(link); });
   }
   if (!l->up)
-    l->held.emplace_back(lighter::number(frame, "n"), packed(frame));
+    l->held.emplace_back(sidecar::number(frame, "n"), packed(frame));
   else
     l->ahead.emplace_back(w.now + 1 + w.pick(2), packed(frame));
 }
@@ -415,7 +415,7 @@
       l->ahead.pop_front();
       Ship& to = *ships[std::size_t(l->to)];
       to.set_time();
-      text(*m, "t") == "q" ? to.in.offer(l->id, *m) : to.in.cancel(l->id, lighter::number(*m, "n"));
+      text(*m, "t") == "q" ? to.in.offer(l->id, *m) : to.in.cancel(l->id, sidecar::number(*m, "n"));
     }
     while (l->out_open && !l->back.empty() && l->back.front().first <= now) {
       auto m = unpacked(l->back.front().second);
--- a/tests/answers_databases.h
+++ b/tests/sidecar/scripted_databases.h
@@ -1,6 +1,6 @@
 // The second half of the small mesh: its databases, its troubles, and what is checked after each step.
 #pragma once
-#include "answers_world.h"
+#include "sidecar/mesh_cluster.h"
 
 namespace pebblespindle::test::mesh {
 
@@ -157,7 +157,7 @@
       s.set_time();
       s.in.server_bytes(id);
       if (!s.conns.count(id)) break;
-      std::vector<AppReader::Answer> answers;
+      std::vector<AppResponseReader::Answer> answers;
       bool fine = c->reader.feed(bytes, answers);
       for (auto& a : answers) {
         if (!s.conns.count(id)) break;
@@ -188,7 +188,7 @@
   rows.push_back({instance_key(in.id), in.json().dump(), number, false});
   for (int n = 0; n < kShips; ++n)
     later(1 + pick(60), [this, n] {
-      if (auto& s = ships[std::size_t(n)]) s->chart.apply(number, rows);
+      if (auto& s = ships[std::size_t(n)]) s->cluster.apply(number, rows);
     });
 }
 
@@ -243,7 +243,7 @@
   if (chance(0.003)) kill(pick(kShips));
   const int i = pick(kShips);
   auto& s = ships[std::size_t(i)];
-  if (s && chance(0.003)) {  // its database starts anew; the lighter hears of it later
+  if (s && chance(0.003)) {  // its database starts anew; the sidecar hears of it later
     auto conns = s->conns;
     new_database(i, service[std::size_t(i)]);
     for (auto& [id, c] : conns)
--- a/tests/fuzz_mesh_test.cc
+++ b/tests/sidecar/sidecar_fuzz_test.cc
@@ -5,17 +5,17 @@
 
 #include <deque>
 
-#include "lighter/app_reader.h"
-#include "lighter/frame.h"
-#include "lighter/inbound.h"
-#include "lighter/outbound.h"
-#include "lighter/pipeline.h"
-#include "ordinance/ordinance.h"
+#include "config/update_validation.h"
+#include "sidecar/app_response_reader.h"
+#include "sidecar/frame.h"
+#include "sidecar/inbound.h"
+#include "sidecar/outbound.h"
+#include "sidecar/pipeline.h"
 
 namespace pebblespindle::test::fuzz {
 namespace {
 
-using namespace lighter;
+using namespace sidecar;
 
 int rounds(int usual) {
   const char* more = std::getenv("PEBBLESPINDLE_SEEDS");
@@ -273,11 +273,11 @@
 // --- the database's side -----------------------------------------------------------
 
 struct Beside : InPort {
-  Timers timers;
+  TimerQueue timers;
   Inbound in{*this, timers};
   Millis now = 1000;
   struct Conn {
-    AppReader reader;
+    AppResponseReader reader;
     std::string id;
   };
   std::map<ConnId, Conn> conns;
@@ -313,7 +313,7 @@
   void hear(ConnId id, std::string_view bytes) {
     in.server_bytes(id);
     if (!conns.count(id)) return;
-    std::vector<AppReader::Answer> got;
+    std::vector<AppResponseReader::Answer> got;
     const bool fine = conns[id].reader.feed(bytes, got);
     for (auto& a : got) {
       in.server_reply(id, std::move(a.reply), a.keep_ms);
@@ -423,13 +423,13 @@
 }
 
 struct Caller : OutPort {
-  Timers timers;
-  Chart chart;
+  TimerQueue timers;
+  ClusterState cluster;
   std::map<CallId, int> answers;
   std::vector<Json> offers;
   std::vector<Endpoint> where;
   int own = 0;
-  Outbound out{*this, timers, chart, {"z", "me", 0.2, 8.0, 10000, 1}};
+  Outbound out{*this, timers, cluster, {"z", "me", 0.2, 8.0, 10000, 1}};
   void answer(CallId id, Reply r) override {
     ASSERT_LE(++answers[id], 1) << "answered twice";
     ASSERT_TRUE(r.status >= 200 && r.status < 600) << r.status;
@@ -480,7 +480,7 @@
     Beside b;
     b.step(0);
     b.in.database(Instance{{"db"}, "s", "z", {"10.0.0.1", 1}, 2, false, false, 1});
-    caller.chart.apply(1, rows);
+    caller.cluster.apply(1, rows);
     caller.out.set_time(1000);
     caller.out.sure(true);
     auto injured = [&](Json m) -> std::optional<Json> {
--- a/tests/lighter_test.cc
+++ b/tests/sidecar/sidecar_test.cc
@@ -1,19 +1,19 @@
-// The mesh on a simulated network: both halves of every lighter as the same code, databases that fail, reset,
-// fall silent, lose answers and turn away, lighters that are killed, links that are cut. Checked after each
+// The mesh on a simulated network: both halves of every sidecar as the same code, databases that fail, reset,
+// fall silent, lose answers and turn away, sidecars that are killed, links that are cut. Checked after each
 // step: at most once, a promise is true, nobody's slots are exceeded, the fleet's budget, callers, and an
 // answer in time.
 #include <gtest/gtest.h>
 
 #include <memory>
 
-#include "lighter/inbound.h"
-#include "lighter/outbound.h"
-#include "ordinance/ordinance.h"
+#include "config/update_validation.h"
+#include "sidecar/inbound.h"
+#include "sidecar/outbound.h"
 
 namespace pebblespindle::test {
 namespace {
 
-using namespace lighter;
+using namespace sidecar;
 
 constexpr int kNodes = 8, kSlots = 3;
 constexpr Millis kTimeout = 900;
@@ -24,7 +24,7 @@
   std::set<int> databases;  // those it came to
   Millis began = 0;
   int node = 0;
-  bool lost = false;  // its lighter was killed
+  bool lost = false;  // its sidecar was killed
 };
 
 struct Mesh;
@@ -32,8 +32,8 @@
 struct Ship : OutPort, InPort {
   Mesh& mesh;
   int no;
-  Timers timers;
-  Chart chart;
+  TimerQueue timers;
+  ClusterState cluster;
   Outbound out;
   Inbound in;
   Endpoint at;
@@ -196,17 +196,17 @@
 Ship::Ship(Mesh& m, int n)
     : mesh(m),
       no(n),
-      out(*this, timers, chart,
+      out(*this, timers, cluster,
           {"z" + std::to_string(n % 2), "service" + std::to_string(n), 0.2, 8.0, 10000,
            std::uint32_t(m.rng())}),
       in(*this, timers),
       at(Mesh::where(n)) {
-  chart.apply(1, m.rows);
+  cluster.apply(1, m.rows);
   out.set_time(m.now);
   in.set_time(m.now);
   out.fleet(kNodes);
   out.sure(true);
-  in.database(*chart.instance({"db" + std::to_string(n)}));
+  in.database(*cluster.instance({"db" + std::to_string(n)}));
 }
 void Ship::answer(CallId id, Reply r) {
   Fate& f = mesh.fates[mesh.calls[id]];
@@ -274,7 +274,7 @@
         int a = m.pick(kNodes), b = m.pick(kNodes);
         if (a != b) m.cuts.insert({std::min(a, b), std::max(a, b)});
       }
-      if (m.chance(0.3)) {  // a lighter is killed, and comes straight back
+      if (m.chance(0.3)) {  // a sidecar is killed, and comes straight back
         int n = m.pick(kNodes);
         for (auto& [id, f] : m.fates)
           if (f.node == n && !f.answers) f.lost = true;
@@ -292,7 +292,7 @@
   EXPECT_GT(m.failed + m.refused, 0) << "a day without trouble shows nothing";
 }
 
-TEST(Mesh, RequestsKeepTheirRulesWhileLightersDieAndDatabasesFail) {
+TEST(Mesh, RequestsKeepTheirRulesWhileSidecarsDieAndDatabasesFail) {
   for (std::uint32_t seed = 1; seed <= 4; ++seed) {
     day(seed);
     if (HasFatalFailure()) return;
@@ -301,7 +301,7 @@
 
 TEST(Mesh, TheBudgetHoldsInEveryWindow) {
   std::mt19937 rng(5);
-  Budget b(0.2, 10000);
+  RetryBudget b(0.2, 10000);
   b.set_slack(4);
   std::deque<Millis> first, second;
   for (Millis now = 0; now < 60000; ++now) {
--- a/tests/answers_wire_test.cc
+++ b/tests/sidecar/socket_answers_test.cc
@@ -5,15 +5,15 @@
 #include <deque>
 #include <thread>
 
-#include "keel/http.h"
-#include "lighter/front.h"
-#include "lighter/inbound.h"
-#include "lighter/quays.h"
+#include "net/http.h"
+#include "sidecar/client_listener.h"
+#include "sidecar/connections.h"
+#include "sidecar/inbound.h"
 
 namespace pebblespindle::test::mesh {
 namespace {
 
-using namespace lighter;
+using namespace sidecar;
 using asio::ip::tcp;
 
 // Addresses of this process alone: tests run side by side.
@@ -49,7 +49,7 @@
   bool ended = false;
 };
 
-void run_until(Loop& loop, const std::function<bool()>& done, Millis most = 20000) {
+void run_until(EventLoop& loop, const std::function<bool()>& done, Millis most = 20000) {
   const Millis end = loop.now() + most;
   loop.io().restart();
   loop.rearm();
@@ -61,14 +61,15 @@
 }
 
 struct FrontWorld {
-  Loop loop;
+  EventLoop loop;
   Limits limits;
   std::map<std::string, CallId> calls;
   std::vector<CallId> gone;
   Endpoint at = place();
-  Front front{loop,
-              {[this](CallId id, Call c) { calls[c.target.substr(1)] = id; },
-               [this](CallId id) { gone.push_back(id); }, [this]() -> const Limits& { return limits; }}};
+  ClientListener front{
+      loop,
+      {[this](CallId id, Call c) { calls[c.target.substr(1)] = id; },
+       [this](CallId id) { gone.push_back(id); }, [this]() -> const Limits& { return limits; }}};
   FrontWorld() { EXPECT_EQ(front.listen(at), ""); }
   void answer(const std::string& id) { front.answer(calls.at(id), {200, "for " + id, {}}); }
 };
@@ -196,20 +197,20 @@
 // --- links ------------------------------------------------------------------------
 
 struct LinksWorld {
-  Loop loop;
+  EventLoop loop;
   std::vector<std::pair<bool, Endpoint>> down;
   std::vector<Json> offers, answers;
-  Links a{loop,
-          {[this](const Endpoint&, const Json& m) { answers.push_back(m); },
-           [this](const Endpoint& at, bool sent) { down.emplace_back(sent, at); }, [](LinkId, const Json&) {},
-           [](LinkId) {}}};
-  Links b{loop,
-          {[](const Endpoint&, const Json&) {}, [](const Endpoint&, bool) {},
-           [this](LinkId link, const Json& m) {
-             offers.push_back(m);
-             last = link;
-           },
-           [this](LinkId) { ++gone; }}};
+  PeerLinks a{loop,
+              {[this](const Endpoint&, const Json& m) { answers.push_back(m); },
+               [this](const Endpoint& at, bool sent) { down.emplace_back(sent, at); },
+               [](LinkId, const Json&) {}, [](LinkId) {}}};
+  PeerLinks b{loop,
+              {[](const Endpoint&, const Json&) {}, [](const Endpoint&, bool) {},
+               [this](LinkId link, const Json& m) {
+                 offers.push_back(m);
+                 last = link;
+               },
+               [this](LinkId) { ++gone; }}};
   LinkId last = 0;
   int gone = 0;
 };
@@ -274,17 +275,17 @@
 // --- the database's connection -------------------------------------------------------
 
 struct AppWorld {
-  Loop loop;
+  EventLoop loop;
   Endpoint at = place();
   tcp::acceptor acceptor{loop.io(), {asio::ip::make_address(at.host), at.port}};
   std::unique_ptr<Peer> database;
   std::vector<std::pair<Reply, Millis>> replies;
   int up = 0, down = 0, bytes = 0;
-  AppConns app{loop,
-               at,
-               {[this](ConnId) { ++up; }, [this](ConnId) { ++bytes; },
-                [this](ConnId, Reply r, Millis keep) { replies.emplace_back(std::move(r), keep); },
-                [this](ConnId, bool) { ++down; }}};
+  AppConnections app{loop,
+                     at,
+                     {[this](ConnId) { ++up; }, [this](ConnId) { ++bytes; },
+                      [this](ConnId, Reply r, Millis keep) { replies.emplace_back(std::move(r), keep); },
+                      [this](ConnId, bool) { ++down; }}};
   AppWorld() {
     acceptor.async_accept(
         [this](const asio::error_code&, tcp::socket s) { database = std::make_unique<Peer>(std::move(s)); });
@@ -364,7 +365,7 @@
 // --- the control plane's server --------------------------------------------------------
 
 TEST(AnswersWire, TheControlPlaneAnswersInOrderOnOneConnection) {
-  Loop loop;
+  EventLoop loop;
   const Endpoint at = place();
   std::map<std::string, HttpDone> waiting;
   auto server = HttpServer::listen(loop.io(), at, [&](HttpRequest r, HttpDone done) {
@@ -388,7 +389,7 @@
 }
 
 TEST(AnswersWire, ACallTakesNoInterimAnswerForItsOwnAndGoesNowhereElse) {
-  Loop loop;
+  EventLoop loop;
   const Endpoint at = place();
   tcp::acceptor acceptor(loop.io(), {asio::ip::make_address(at.host), at.port});
   std::unique_ptr<Peer> peer;
--- a/tests/disk_test.cc
+++ b/tests/storage/sqlite_store_folder_test.cc
@@ -1,10 +1,10 @@
-// The ledger's disk where each file that was made, renamed or removed may be kept or lost by itself.
+// The state's disk where each file that was made, renamed or removed may be kept or lost by itself.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
 
-#include "ledger/sqlite_disk.h"
-#include "power_vfs.h"
+#include "storage/power_loss_vfs.h"
+#include "storage/sqlite_store.h"
 
 namespace pebblespindle::test {
 namespace {
@@ -20,8 +20,8 @@
     folder.remove = [this](const std::string& p) { return power.remove(p); };
     folder.sync = [this] { return power.sync_folder(); };
   }
-  std::unique_ptr<SqliteDisk> open() {
-    auto disk = open_ledger("d", folder, vfs, [this](const std::string& s) { notes.push_back(s); });
+  std::unique_ptr<SqliteStore> open() {
+    auto disk = open_store("d", folder, vfs, [this](const std::string& s) { notes.push_back(s); });
     return disk ? std::move(*disk.value) : nullptr;
   }
   PowerVfs power;
@@ -37,7 +37,7 @@
   return b;
 }
 
-std::uint64_t stored(SqliteDisk& disk) {
+std::uint64_t stored(SqliteStore& disk) {
   auto m = disk.meta();
   return m.count("stored") ? std::stoull(m["stored"]) : 0;
 }
--- a/tests/stored_data_test.cc
+++ b/tests/storage/stored_data_test.cc
@@ -6,19 +6,19 @@
 #include <fstream>
 #include <sstream>
 
-#include "chain/node.h"
-#include "ledger/sqlite_disk.h"
-#include "ordinance/chart.h"
-#include "ordinance/ordinance.h"
-#include "ordinance/taken.h"
+#include "config/applied_changes.h"
+#include "config/cluster_state.h"
+#include "config/update_validation.h"
+#include "replication/replica.h"
+#include "storage/sqlite_store.h"
 
 namespace pebblespindle::test {
 namespace {
 
-struct SilentOutlet : chain::Outlet {
+struct SilentOutlet : replication::Outlet {
   void send(const std::string&, const Json& message) override { sent.push_back(message); }
-  chain::Verdict judge(const Ledger& ledger, const Json& update) override {
-    return judge_update(ledger, update);
+  replication::Verdict judge(const StateTable& state, const Json& update) override {
+    return judge_update(state, update);
   }
   void committed(std::uint64_t) override {}
   void note(const std::string&) override {}
@@ -30,7 +30,7 @@
   ~StoredData() override { std::filesystem::remove_all(directory_); }
 
   // Makes a database file of a dump and opens it as a core does.
-  std::unique_ptr<SqliteDisk> open(const std::string& dump) {
+  std::unique_ptr<SqliteStore> open(const std::string& dump) {
     directory_ = testing::TempDir() + "stored-" + dump;
     std::filesystem::remove_all(directory_);
     std::filesystem::create_directories(directory_);
@@ -41,14 +41,14 @@
     EXPECT_EQ(sqlite3_open((directory_ + "/ledger.db").c_str(), &database), SQLITE_OK);
     EXPECT_EQ(sqlite3_exec(database, sql.str().c_str(), nullptr, nullptr, nullptr), SQLITE_OK);
     sqlite3_close(database);
-    auto disk = open_ledger(directory_, [](const std::string& sentence) { ADD_FAILURE() << sentence; });
+    auto disk = open_store(directory_, [](const std::string& sentence) { ADD_FAILURE() << sentence; });
     EXPECT_TRUE(disk) << disk.reason;
     return std::move(*disk.value);
   }
-  std::unique_ptr<chain::Node> start(SqliteDisk& disk, const std::string& host) {
-    return std::make_unique<chain::Node>(
-        chain::Node::Start{host, {"10.1.0.4", "10.2.0.4", "10.3.0.4"}, false, 1, 99, 300}, disk, outlet_,
-        1000);
+  std::unique_ptr<replication::Node> start(SqliteStore& disk, const std::string& host) {
+    return std::make_unique<replication::Node>(
+        replication::Node::Start{host, {"10.1.0.4", "10.2.0.4", "10.3.0.4"}, false, 1, 99, 300}, disk,
+        outlet_, 1000);
   }
   SilentOutlet outlet_;
 
@@ -63,7 +63,7 @@
   EXPECT_EQ(node->view().json(), Json::parse(R"({"n": 4, "h": 1,
     "m": [["10.1.0.4", 1], ["10.2.0.4", 1], ["10.3.0.4~2a8765a3", 3]],
     "v": ["10.1.0.4", "10.2.0.4", "10.3.0.4~2a8765a3"]})"));
-  EXPECT_EQ(node->ledger().stored(), 10u);
+  EXPECT_EQ(node->state().stored(), 10u);
   EXPECT_TRUE(node->in_step());
   const Json durable = Json::parse(disk->meta()["durable"]);
   // Written again, it says the same: nothing of it was left unread.
@@ -78,41 +78,41 @@
 TEST_F(StoredData, ConfigurationDatabasesAndLeadsAreRead) {
   auto disk = open("stored_head.sql");
   auto node = start(*disk, "10.1.0.4");
-  Chart chart;
-  chart.follow(node->ledger());
-  EXPECT_EQ(chart.config().revision, 8u);
-  EXPECT_EQ(chart.config().services.at("store").max_connections, 12);
-  EXPECT_EQ(chart.config().services.at("archive").sync_replicas, 0);
-  const Tenant* tenant = chart.tenant_of("key-2");
+  ClusterState cluster;
+  cluster.follow(node->state());
+  EXPECT_EQ(cluster.config().revision, 8u);
+  EXPECT_EQ(cluster.config().services.at("store").max_connections, 12);
+  EXPECT_EQ(cluster.config().services.at("archive").sync_replicas, 0);
+  const Tenant* tenant = cluster.tenant_of("key-2");
   ASSERT_NE(tenant, nullptr);
   EXPECT_EQ(tenant->name, "acme");
   EXPECT_EQ(tenant->rate_per_s, 12.5);
-  EXPECT_EQ(chart.route("host-1.example")->timeout_ms, 700);
-  auto part = chart.route("host-1.example", "/part/of/it");
+  EXPECT_EQ(cluster.route("host-1.example")->timeout_ms, 700);
+  auto part = cluster.route("host-1.example", "/part/of/it");
   EXPECT_EQ(part->name, "split");
   EXPECT_EQ(part->split.size(), 2u);
   EXPECT_TRUE(part->open_to_all);
-  EXPECT_EQ(chart.instances().size(), 5u);
-  EXPECT_TRUE(chart.instance({"i-c3"})->draining);
-  EXPECT_EQ(chart.instance({"i-d4"}), nullptr);
-  EXPECT_TRUE(node->ledger().find_any("i/i-d4")->gone);
-  EXPECT_EQ(chart.lead("store")->primary, InstanceId{"i-a1"});
-  EXPECT_TRUE(chart.lead("store")->hold);
-  EXPECT_TRUE(chart.lead("store")->planned);
-  EXPECT_EQ(chart.lead("store")->term, 3u);
+  EXPECT_EQ(cluster.instances().size(), 5u);
+  EXPECT_TRUE(cluster.instance({"i-c3"})->draining);
+  EXPECT_EQ(cluster.instance({"i-d4"}), nullptr);
+  EXPECT_TRUE(node->state().find_any("i/i-d4")->gone);
+  EXPECT_EQ(cluster.lead("store")->primary, InstanceId{"i-a1"});
+  EXPECT_TRUE(cluster.lead("store")->hold);
+  EXPECT_TRUE(cluster.lead("store")->planned);
+  EXPECT_EQ(cluster.lead("store")->term, 3u);
 }
 
 TEST_F(StoredData, TheRecordOfAppliedChangesIsRead) {
   auto disk = open("stored_head.sql");
   auto node = start(*disk, "10.1.0.4");
-  const auto newest = newest_taken(node->ledger());
+  const auto newest = newest_taken(node->state());
   ASSERT_TRUE(newest);
   EXPECT_EQ(newest->place, 1u);
   EXPECT_EQ(newest->base, 7u);
   EXPECT_EQ(newest->revision, 8u);
-  ASSERT_TRUE(taken_at(node->ledger(), 0));
-  EXPECT_EQ(taken_at(node->ledger(), 0)->revision, 7u);
-  EXPECT_EQ(fate_of(node->ledger(), false, 0, "another"), Fate::kNotTaken);
+  ASSERT_TRUE(taken_at(node->state(), 0));
+  EXPECT_EQ(taken_at(node->state(), 0)->revision, 7u);
+  EXPECT_EQ(fate_of(node->state(), false, 0, "another"), Fate::kNotTaken);
 }
 
 TEST_F(StoredData, AnUnfinishedStateTransferGoesOnWhereItStopped) {
--- a/tests/units_test.cc
+++ b/tests/units_test.cc
@@ -1,16 +1,16 @@
 // The parts that stand alone: disk, wire, settings, configuration, freshness, leases of nodes.
 #include <gtest/gtest.h>
 
-#include "berth/freshness.h"
-#include "berth/lvector.h"
-#include "berth/pace.h"
-#include "ledger/sqlite_disk.h"
-#include "lookout/lookout.h"
-#include "ordinance/chart.h"
-#include "ordinance/ordinance.h"
-#include "power_vfs.h"
-#include "roster/roster.h"
-#include "wire/wire.h"
+#include "config/cluster_state.h"
+#include "config/update_validation.h"
+#include "health/outlier_detector.h"
+#include "membership/node_leases.h"
+#include "pooler/freshness.h"
+#include "pooler/latency_tracker.h"
+#include "pooler/lvector.h"
+#include "sql_protocol/sql_protocol.h"
+#include "storage/power_loss_vfs.h"
+#include "storage/sqlite_store.h"
 
 namespace pebblespindle::test {
 namespace {
@@ -23,7 +23,7 @@
     const char* vfs = PowerVfs::install(&power);
     std::map<std::string, std::string> sure;  // what commit() said is kept
     for (int life = 0; life < 5; ++life) {
-      auto disk = SqliteDisk::open("ledger.db", vfs);
+      auto disk = SqliteStore::open("ledger.db", vfs);
       ASSERT_TRUE(disk) << disk.reason;
       auto meta = (*disk.value)->meta();
       int last = meta.count("n") ? std::stoi(meta["n"]) : 0;
@@ -50,7 +50,7 @@
   PowerVfs power;
   const char* vfs = PowerVfs::install(&power);
   {
-    auto disk = SqliteDisk::open("ledger.db", vfs);
+    auto disk = SqliteStore::open("ledger.db", vfs);
     ASSERT_TRUE(disk);
     Batch b;
     for (int i = 0; i < 200; ++i)
@@ -59,28 +59,28 @@
   }
   auto& file = power.files["ledger.db"]->current;
   for (std::size_t i = 4096; i < 9000; ++i) file[i] = char(i * 31);
-  auto disk = SqliteDisk::open("ledger.db", vfs);
+  auto disk = SqliteStore::open("ledger.db", vfs);
   ASSERT_FALSE(disk);
   EXPECT_NE(disk.reason.find("ledger.db"), std::string::npos);
 }
 
 TEST(Wire, StatementsAreReadStrictly) {
-  using wire::Verb;
-  EXPECT_EQ(wire::parse_statement("BEGIN").verb, Verb::kBegin);
-  EXPECT_TRUE(wire::parse_statement("BEGIN FETCH").read_only);
-  EXPECT_EQ(wire::parse_statement("BEGIN STORE").verb, Verb::kBad);
-  EXPECT_EQ(wire::parse_statement("WAITFOR 1.2 FETCH a").verb, Verb::kBad);  // never a client's
-  auto s = wire::parse_statement("PREPARE s1 STORE q2c");
+  using sql_protocol::Verb;
+  EXPECT_EQ(sql_protocol::parse_statement("BEGIN").verb, Verb::kBegin);
+  EXPECT_TRUE(sql_protocol::parse_statement("BEGIN FETCH").read_only);
+  EXPECT_EQ(sql_protocol::parse_statement("BEGIN STORE").verb, Verb::kBad);
+  EXPECT_EQ(sql_protocol::parse_statement("WAITFOR 1.2 FETCH a").verb, Verb::kBad);  // never a client's
+  auto s = sql_protocol::parse_statement("PREPARE s1 STORE q2c");
   EXPECT_EQ(s.verb, Verb::kPrepare);
   EXPECT_EQ(s.rest, "STORE q2c");
-  EXPECT_EQ(wire::parse_statement("STORE 1a4 a b  c").rest, "a b  c");
+  EXPECT_EQ(sql_protocol::parse_statement("STORE 1a4 a b  c").rest, "a b  c");
   for (const char* bad :
        {"", "FETCH", "PREPARE x SCAN y", "EXECUTE p", "COMMIT now", "CONFIGURE a", "RELEASE"})
-    EXPECT_EQ(wire::parse_statement(bad).verb, Verb::kBad) << bad;
-  EXPECT_FALSE(wire::parse_idle("X 1.2"));
-  EXPECT_FALSE(wire::parse_idle("I 1.x"));
-  EXPECT_FALSE(wire::parse_info("replica 3 nonsense 0 12"));
-  EXPECT_EQ(wire::parse_info("replica 3 3.1209 0 12 2 17")->received, (Position{3, 1209}));
+    EXPECT_EQ(sql_protocol::parse_statement(bad).verb, Verb::kBad) << bad;
+  EXPECT_FALSE(sql_protocol::parse_idle("X 1.2"));
+  EXPECT_FALSE(sql_protocol::parse_idle("I 1.x"));
+  EXPECT_FALSE(sql_protocol::parse_info("replica 3 nonsense 0 12"));
+  EXPECT_EQ(sql_protocol::parse_info("replica 3 3.1209 0 12 2 17")->received, (Position{3, 1209}));
 }
 
 TEST(Settings, SayInOneLineWhatIsWrong) {
@@ -151,11 +151,11 @@
 
 // PATCH names items; what it leaves out stays. Judged against the base it names, in one history with PUT.
 TEST(Configuration, AChangeOfNamedItemsIsMergedAndJudgedAsAWhole) {
-  Ledger ledger;
+  StateTable state;
   auto put = [&](const Json& u) {
-    auto v = judge_update(ledger, u);
-    std::uint64_t n = ledger.stored() + 1;
-    for (auto& r : v.rows) r.number = n, ledger.put(r);
+    auto v = judge_update(state, u);
+    std::uint64_t n = state.stored() + 1;
+    for (auto& r : v.rows) r.number = n, state.put(r);
     return v.status;
   };
   const std::string first = R"({"Revision":5,"Upsert":{"Routes":[{"Name":"c","Hostname":"h.example",
@@ -164,15 +164,15 @@
   EXPECT_EQ(put(config_update(0, kMeshConfig)), 200);
   EXPECT_EQ(put(patch_update(3, first)), 200);
   EXPECT_EQ(put(patch_update(3, first)), 200) << "offered again: taken";
-  Chart chart;
-  chart.follow(ledger);
-  EXPECT_EQ(chart.config().revision, 5u);
-  EXPECT_FALSE(chart.route("h.example", "/x/q"));
-  EXPECT_EQ(chart.route("h.example", "/x/y/q/r")->name, "b");
-  EXPECT_EQ(chart.route("h.example", "/x/y/q/r")->split.size(), 2u);
-  EXPECT_EQ(chart.route("h.example", "/z/q")->service, "t");
-  EXPECT_FALSE(chart.route("h.example", "/zz/q"));
-  EXPECT_FALSE(chart.route("other.example", "/z/q"));
+  ClusterState cluster;
+  cluster.follow(state);
+  EXPECT_EQ(cluster.config().revision, 5u);
+  EXPECT_FALSE(cluster.route("h.example", "/x/q"));
+  EXPECT_EQ(cluster.route("h.example", "/x/y/q/r")->name, "b");
+  EXPECT_EQ(cluster.route("h.example", "/x/y/q/r")->split.size(), 2u);
+  EXPECT_EQ(cluster.route("h.example", "/z/q")->service, "t");
+  EXPECT_FALSE(cluster.route("h.example", "/zz/q"));
+  EXPECT_FALSE(cluster.route("other.example", "/z/q"));
   for (const char* bad :
        {R"({"Revision":5})",                                                     // not above
         R"({"Revision":9,"Upsert":{"Routes":[{"Hostname")",                      // cut short
@@ -184,17 +184,17 @@
     EXPECT_EQ(put(patch_update(5, bad)), 400) << bad;
   EXPECT_EQ(put(patch_update(3, R"({"Revision":9})")), 412);
   EXPECT_EQ(put(patch_update(5, R"({"Revision":9,"Upsert":{"Limits":{"IdleTimeoutMs":700}}})")), 200);
-  chart.follow(ledger);
-  EXPECT_EQ(chart.config().limits.idle_ms, 700);
-  EXPECT_EQ(chart.config().limits.header_bytes, 16384u);
-  EXPECT_EQ(Json::parse(ledger.find(kConfigKey)->value)["Routes"].size(), 2u);
+  cluster.follow(state);
+  EXPECT_EQ(cluster.config().limits.idle_ms, 700);
+  EXPECT_EQ(cluster.config().limits.header_bytes, 16384u);
+  EXPECT_EQ(Json::parse(state.find(kConfigKey)->value)["Routes"].size(), 2u);
 }
 
 TEST(Configuration, IsTakenByCompareAndSet) {
-  Ledger ledger;
+  StateTable state;
   auto offer = [&](std::uint64_t base, const std::string& body) {
-    auto v = judge_update(ledger, config_update(base, body));
-    for (auto& r : v.rows) r.number = ledger.stored() + 1, ledger.put(r);
+    auto v = judge_update(state, config_update(base, body));
+    for (auto& r : v.rows) r.number = state.stored() + 1, state.put(r);
     return v.status;
   };
   EXPECT_EQ(offer(1, kConfig), 503) << "version 1 may be on its way";
@@ -204,31 +204,31 @@
   EXPECT_EQ(offer(3, changed(kConfig, ":3", ":2")), 400);
   EXPECT_EQ(offer(3, changed(kConfig, ":3", ":7")), 200);
   EXPECT_EQ(offer(3, changed(kConfig, ":3", ":8")), 412);
-  EXPECT_EQ(ledger.find(kConfigKey)->value, changed(kConfig, ":3", ":7"));
+  EXPECT_EQ(state.find(kConfigKey)->value, changed(kConfig, ":3", ":7"));
 }
 
 TEST(Registry, LateBeatsAndLateLeadersChangeNothing) {
-  Ledger ledger;
+  StateTable state;
   auto tell = [&](const std::string& id, bool primary, bool draining, int calls, int port) {
     Instance i{{id}, "s", "z", {"10.0.0.1", std::uint16_t(port)}, 4, draining, primary, std::uint64_t(calls)};
-    auto v = judge_update(ledger, instance_update(i));
-    for (auto& r : v.rows) r.number = ledger.stored() + 1, ledger.put(r);
+    auto v = judge_update(state, instance_update(i));
+    for (auto& r : v.rows) r.number = state.stored() + 1, state.put(r);
   };
   tell("a", true, false, 1, 1);
   tell("a", true, true, 5, 1);
   tell("a", true, false, 4, 1);  // overtaken on the way
-  EXPECT_TRUE(Instance::from({"a"}, ledger.find("i/a")->value)->draining);
+  EXPECT_TRUE(Instance::from({"a"}, state.find("i/a")->value)->draining);
   tell("b", true, false, 1, 2);  // names itself primary, but the lead is not its to take
-  EXPECT_EQ(Lead::from(ledger.find("s/s")->value)->primary.value, "a");
-  auto v = judge_update(ledger, leave_update({"a"}));
-  v.rows[0].number = ledger.stored() + 1;
-  ledger.put(v.rows[0]);
+  EXPECT_EQ(Lead::from(state.find("s/s")->value)->primary.value, "a");
+  auto v = judge_update(state, leave_update({"a"}));
+  v.rows[0].number = state.stored() + 1;
+  state.put(v.rows[0]);
   tell("a", true, false, 9, 1);
-  EXPECT_EQ(ledger.find("i/a"), nullptr) << "one that has left came back by a late beat";
+  EXPECT_EQ(state.find("i/a"), nullptr) << "one that has left came back by a late beat";
 }
 
 TEST(Freshness, GivesTheLeastDemandingPositionThatIsYoungEnough) {
-  berth::Freshness f;
+  pooler::Freshness f;
   EXPECT_FALSE(f.bound(1000, 500));
   f.observe(1000, {1, 10});
   f.observe(1200, {1, 20});
@@ -240,7 +240,7 @@
 }
 
 // Feeds windows of n answers of which some take `late`, the rest `ms`; tells whether the last was found slow.
-bool paced(berth::Pace& p, int windows, int n, Millis ms, int some = 0, Millis late = 0) {
+bool paced(pooler::LatencyTracker& p, int windows, int n, Millis ms, int some = 0, Millis late = 0) {
   bool slow = false;
   for (int w = 0; w < windows; ++w) {
     for (int i = 0; i < n; ++i) p.answered(i < some ? late : ms);
@@ -249,28 +249,28 @@
   return slow;
 }
 
-TEST(Pace, TellsSlowFromBusyAndFromALossyLink) {
-  berth::Pace slow;
+TEST(LatencyTracker, TellsSlowFromBusyAndFromALossyLink) {
+  pooler::LatencyTracker slow;
   EXPECT_FALSE(paced(slow, 10, 20, 10));
   EXPECT_TRUE(paced(slow, 1, 18, 60));
-  berth::Pace busy;
+  pooler::LatencyTracker busy;
   paced(busy, 10, 20, 10);
   EXPECT_FALSE(paced(busy, 6, 40, 60)) << "it gets more done than usual";
-  berth::Pace lossy;
+  pooler::LatencyTracker lossy;
   paced(lossy, 10, 20, 10);
   EXPECT_FALSE(paced(lossy, 6, 20, 10, 5, 400)) << "lost packets delay some answers only";
 }
 
 TEST(LVector, ANewerTermOutranksAnyNumberOfAnOlderOne) {
-  berth::LVector old(Position{3, 900}), cut(Position{4, 850});
+  pooler::LVector old(Position{3, 900}), cut(Position{4, 850});
   EXPECT_LT(old, cut);  // 900 was cut back by the promote: a session that saw it is not blocked for ever
   old.raise({4, 10});
   EXPECT_LT(old, cut);
 }
 
-TEST(Lookout, TellsOfADatabaseWhenSeveralNodesOfAZoneAgree) {
+TEST(OutlierDetector, TellsOfADatabaseWhenSeveralNodesOfAZoneAgree) {
   std::vector<std::string> told;
-  Lookout l([&](const std::string& s) { told.push_back(s); });
+  OutlierDetector l([&](const std::string& s) { told.push_back(s); });
   Json report{{"d", Json::array({Json::array({"i-1", 40, 20, 12, 0})})}};
   EXPECT_TRUE(l.report(1000, "north", "n1", report));
   EXPECT_TRUE(l.report(1100, "south", "n2", report));
@@ -286,10 +286,11 @@
   EXPECT_TRUE(l.databases(9000).empty());
 }
 
-TEST(Lookout, WhatSeveralNodesMetOnceGoesBackToTheirZone) {
+TEST(OutlierDetector, WhatSeveralNodesMetOnceGoesBackToTheirZone) {
   std::vector<std::string> avoided;
-  Lookout l([](const std::string&) {},
-            [&](const std::string& id, const std::string& zone) { avoided.push_back(id + " " + zone); });
+  OutlierDetector l(
+      [](const std::string&) {},
+      [&](const std::string& id, const std::string& zone) { avoided.push_back(id + " " + zone); });
   auto once = [](int asked) { return Json{{"d", Json::array({Json::array({"i-1", asked, 1, 12, 0})})}}; };
   l.report(1000, "north", "n1", once(1));
   l.report(1000, "south", "s1", once(1));
@@ -303,8 +304,8 @@
   EXPECT_EQ(avoided.size(), 1u) << "one failure of nine requests is met on any day";
 }
 
-TEST(Lookout, DropsFiguresThatCannotBe) {
-  Lookout l([](const std::string&) {});
+TEST(OutlierDetector, DropsFiguresThatCannotBe) {
+  OutlierDetector l([](const std::string&) {});
   for (const char* bad :
        {R"({"d":[["i",3,9,1,0]]})", R"({"d":[["i",-1,0,1,0]]})", R"({"d":[["i",1,0,1]]})", R"({"d":{}})",
         R"({"d":[[7,1,0,1,0]]})", R"({"r":[["r",1e99,0,0,0]]})", R"({"r":[["r",99999999999,0,0,0]]})"})
@@ -312,8 +313,8 @@
   EXPECT_TRUE(l.databases(1000).empty());
 }
 
-TEST(Roster, CountsLeasesItDoesNotRemember) {
-  Roster r(1000);
+TEST(NodeLeases, CountsLeasesItDoesNotRemember) {
+  NodeLeases r(1000);
   EXPECT_EQ(r.acknowledged(1100, 9), 0u) << "leases of a former life may still run";
   Millis later = 1000 + constants::kNodeLeaseMs + constants::kDriftMarginMs;
   EXPECT_EQ(r.acknowledged(later, 9), 9u);
--- a/tools/scale_run.py
+++ b/tools/scale_run.py
@@ -99,7 +99,7 @@
             path = os.path.join(folder, f"core{i}.json")
             with open(path, "w") as f:
                 json.dump(settings, f)
-            processes.append(subprocess.Popen([self.binary, "harbourmaster"], stdout=subprocess.DEVNULL,
+            processes.append(subprocess.Popen([self.binary, "controller"], stdout=subprocess.DEVNULL,
                                               stderr=subprocess.DEVNULL,
                                               env=dict(os.environ, PEBBLESPINDLE_SETTINGS=path)))
         return hosts, processes
--- a/tools/worst_case_run.py
+++ b/tools/worst_case_run.py
@@ -29,7 +29,7 @@
 
     def start(self, i):
         env = dict(os.environ, PEBBLESPINDLE_SETTINGS=os.path.join(self.folder, f"core{i}.json"))
-        return subprocess.Popen([self.binary, "harbourmaster"], stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL,
+        return subprocess.Popen([self.binary, "controller"], stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL,
                                 env=env)
 
     async def status(self, i):
