--- a/src/agent/agent.cc
+++ b/src/agent/agent.cc
@@ -25,10 +25,10 @@
     auto feed = Acceptor::listen(loop_.io(), settings_.feed(),
                                  [this](asio::ip::tcp::socket s) { accept_proxy(std::move(s)); });
     if (!feed) {
-      log_.say(feed.reason);
+      log_.say(feed.status().message());
       return 1;
     }
-    feed_ = std::move(*feed.value);
+    feed_ = std::move(*feed);
     loop_.on_signal(SIGTERM, [this] {
       // The pooler ends its work first; the link stays up for it until the grace period is nearly over.
       log_.say("Asked to end.");
@@ -39,9 +39,9 @@
     });
     loop_.on_signal(SIGHUP, [this] {
       auto s = load_settings(settings_path());
-      log_.say(s ? "Settings read again." : "Settings not taken: " + s.reason);
+      log_.say(s ? "Settings read again." : "Settings not taken: " + s.status().message());
       if (!s) return;
-      settings_.seeds = s.value->seeds;
+      settings_.seeds = s->seeds;
       for (auto& seed : settings_.seeds) add_core(seed.host, "");
     });
     loop_.every(kReconnectMs / 2, [this] { tick(); });
--- a/src/agent/state_cache.cc
+++ b/src/agent/state_cache.cc
@@ -6,7 +6,7 @@
 
 StateCache::Taken StateCache::take(const Json& m, std::string_view line) {
   Taken t;
-  auto rows = rows_from_json(m.value("r", Json()));
+  auto rows = decode_rows(m.value("r", Json()));
   const std::uint64_t k = replication::number(m, "k"), left = replication::number(m, "left");
   const bool whole = replication::field(m, "whole", false), alone = !m.contains("left");
   // Pieces count down to the last; one that is not the next belongs to another feed.
@@ -16,7 +16,7 @@
   if (t.torn) return t;
   std::vector<Row> all;
   if (alone) {
-    all = std::move(*rows.value);
+    all = std::move(*rows);
   } else {
     // One of several pieces: they count once the last is here. Each is told of, even one that comes too late
     // to count: the core waits for that with the next.
@@ -25,7 +25,7 @@
     whole_ = whole;
     next_left_.reset();
     if (left > 0) next_left_ = left - 1;
-    pieces_.insert(pieces_.end(), rows.value->begin(), rows.value->end());
+    pieces_.insert(pieces_.end(), rows->begin(), rows->end());
     if (left != 0) return t;
     all = std::exchange(pieces_, {});
   }
@@ -37,7 +37,7 @@
     t.hand_on = std::string(line) + "\n";
     return t;
   }
-  Json up{{"t", "up"}, {"k", k}, {"r", rows_to_json(all)}};
+  Json up{{"t", "up"}, {"k", k}, {"r", encode_rows(all)}};
   if (whole) up["whole"] = true;
   t.hand_on = up.dump() + "\n";
   return t;
@@ -45,9 +45,9 @@
 
 std::string StateCache::whole() const {
   std::vector<Row> rows;
-  for (auto& r : rows_.since(0))
-    if (!r.gone) rows.push_back(r);
-  return Json{{"t", "up"}, {"k", number_}, {"r", rows_to_json(rows)}, {"whole", true}}.dump() + "\n";
+  for (auto& r : rows_.rows_after(0))
+    if (!r.deleted) rows.push_back(r);
+  return Json{{"t", "up"}, {"k", number_}, {"r", encode_rows(rows)}, {"whole", true}}.dump() + "\n";
 }
 
 }  // namespace pebblespindle
--- a/src/base/constants.h
+++ b/src/base/constants.h
@@ -13,7 +13,6 @@
                                                       // that reads nothing; then the link starts anew
 constexpr std::size_t kStatePieceBytes =
     65536;  // bytes; a state goes between cores in pieces of this: beats and updates pass in between
-constexpr std::size_t kRowBytes = 32;  // bytes; what a row adds to its key and value in a message, about
 constexpr std::size_t kMaxHttpBodyBytes = 2 << 20;  // bytes; four times the largest configuration seen
 constexpr std::size_t kPieceBytes = 12288;  // bytes; 50 ms of a link of 2 Mbit/s: leases pass in between
 constexpr std::size_t kPiecesAhead = 2;  // pieces on their way to a node; the link does not idle between two
--- a/src/base/json_schema.h
+++ b/src/base/json_schema.h
@@ -4,6 +4,7 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
+#include "base/status.h"
 #include "base/types.h"
 
 namespace pebblespindle {
@@ -21,6 +22,6 @@
   std::shared_ptr<void> compiled_;
 };
 
-Outcome<Json> parse_json(std::string_view text);
+Result<Json> parse_json(std::string_view text);
 
 }  // namespace pebblespindle
--- a/src/cli/check_command.cc
+++ b/src/cli/check_command.cc
@@ -17,14 +17,15 @@
 int check(const std::string& file) {
   auto text = read_file(file);
   if (!text) {
-    std::cerr << "check: " << text.reason << "\n";
+    std::cerr << "check: " << text.status().message() << "\n";
     return kExitFailure;
   }
-  auto document = parse_json(*text.value);
-  const bool configuration = document && is_configuration(*document.value);
-  std::string error = document.reason;
+  auto document = parse_json(*text);
+  const bool configuration = document && is_configuration(*document);
+  std::string error = document.status().message();
   if (document)
-    error = configuration ? read_configuration(*text.value).reason : read_settings(*text.value).reason;
+    error = configuration ? read_configuration(*text).status().message()
+                          : read_settings(*text).status().message();
   if (!error.empty()) {
     std::cerr << file << ": " << error << "\n";
     return kExitFailure;
--- a/src/cli/status_command.cc
+++ b/src/cli/status_command.cc
@@ -100,8 +100,8 @@
     return kExitUsage;
   }
   auto settings = load_settings(settings_path());
-  if (settings) return print_status(settings.value->seeds, true, verbose);
-  std::cerr << "status: " << settings.reason << "\n";
+  if (settings) return print_status(settings->seeds, true, verbose);
+  std::cerr << "status: " << settings.status().message() << "\n";
   return kExitFailure;
 }
 
--- a/src/config/cluster_state.cc
+++ b/src/config/cluster_state.cc
@@ -16,19 +16,19 @@
       routes_.erase(place);
   };
   for (auto& r : rows) {
-    if (r.number <= before) continue;
+    if (r.sequence <= before) continue;
     keys = keys || r.key.starts_with(kTenantPrefix);
-    if (enter_part(config_, r.key, r.gone ? nullptr : &r.value, take_route)) continue;
+    if (enter_part(config_, r.key, r.deleted ? nullptr : &r.value, take_route)) continue;
     if (r.key.starts_with("i/")) {
       InstanceId id{r.key.substr(2)};
-      auto i = r.gone ? std::nullopt : Instance::from(id, r.value);
+      auto i = r.deleted ? std::nullopt : Instance::from(id, r.value);
       if (i)
         instances_[id] = *i;
       else
         instances_.erase(id);
       moved = true;
     } else if (r.key.starts_with("s/")) {
-      auto l = r.gone ? std::nullopt : Lead::from(r.value);
+      auto l = r.deleted ? std::nullopt : Lead::from(r.value);
       if (l)
         leads_[r.key.substr(2)] = *l;
       else
@@ -55,15 +55,15 @@
 }
 
 bool ClusterState::follow(const StateTable& state) {
-  if (state.changes() == changes_ && state.lives() == lives_) return false;
+  if (state.change_count() == changes_ && state.generation() == lives_) return false;
   // The state was taken anew, and its numbers may stand for other rows; or it no longer names all that is
   // gone.
-  if (state.lives() != lives_ || number_ < state.trimmed()) {
+  if (state.generation() != lives_ || number_ < state.compacted_to()) {
     *this = ClusterState();
-    lives_ = state.lives();
+    lives_ = state.generation();
   }
-  changes_ = state.changes();
-  return apply(state.stored(), state.since(number_));
+  changes_ = state.change_count();
+  return apply(state.last_sequence(), state.rows_after(number_));
 }
 
 void ClusterState::index() {
--- a/src/config/config_delivery.cc
+++ b/src/config/config_delivery.cc
@@ -21,11 +21,11 @@
     feeding_ = nullptr;
     // Only whole, committed states go out: between two changes of a row there is nothing to send.
     if (!greeted_ || !settled || sent_ >= committed) return;
-    if (sent_ < state.trimmed()) sent_ = 0;  // what is gone is no longer named: it takes the state whole
-    if (news.from != sent_ || news.to != committed || news.life != state.lives())
-      news = {
-          sent_, committed, state.lives(),
-          std::make_shared<const std::vector<std::string>>(feed_lines(sent_, committed, state.since(sent_)))};
+    if (sent_ < state.compacted_to()) sent_ = 0;  // what is gone is no longer named: it takes the state whole
+    if (news.from != sent_ || news.to != committed || news.life != state.generation())
+      news = {sent_, committed, state.generation(),
+              std::make_shared<const std::vector<std::string>>(
+                  feed_lines(sent_, committed, state.rows_after(sent_)))};
     sent_ = committed;
     feeding_ = news.lines;
     next_ = taken_ = 0;
--- a/src/config/records.h
+++ b/src/config/records.h
@@ -52,11 +52,11 @@
 };
 
 // Reads and checks a configuration as the operator sends it.
-Outcome<Configuration> read_configuration(std::string_view text);
+Result<Configuration> read_configuration(std::string_view text);
 // What no whole could make sound in a change of named items; empty when there is nothing.
 std::string wrong_with_patch(std::string_view patch);
 // The whole that a change of named items makes of a whole.
-Outcome<std::string> patched(const std::string& whole, std::string_view patch);
+Result<std::string> patched(const std::string& whole, std::string_view patch);
 
 struct Instance {
   InstanceId id;
@@ -70,7 +70,7 @@
   bool same_but_calls(const Instance& o) const;
 };
 // Reads and checks a beat.
-Outcome<Instance> read_beat(const std::string& id, std::string_view body);
+Result<Instance> read_beat(const std::string& id, std::string_view body);
 
 // Who leads a service, and whether the lead is being handed over.
 struct Lead {
--- a/src/config/update_validation.cc
+++ b/src/config/update_validation.cc
@@ -37,20 +37,20 @@
     if (base > current) return on_its_way;
     if (!now) return another;
     auto whole = patched(now->value, sent);
-    if (!whole) return {400, whole.reason, {}};
-    body = std::move(*whole.value);
+    if (!whole) return {400, whole.status().message(), {}};
+    body = std::move(*whole);
   }
   const std::string& whole = patch ? body : sent;
   auto next = read_configuration(whole);
-  if (!next) return {400, next.reason, {}};
-  if (next.value->revision <= base) return {400, "Revision is not above " + std::to_string(base), {}};
+  if (!next) return {400, next.status().message(), {}};
+  if (next->revision <= base) return {400, "Revision is not above " + std::to_string(base), {}};
   if (base > current) return on_its_way;
   // Nodes are told what has changed, whatever the size of the whole.
-  Verdict v{200, {}, taken_rows(state, patch, base, next.value->revision, sent)};
+  Verdict v{200, {}, taken_rows(state, patch, base, next->revision, sent)};
   v.rows.push_back({kConfigKey, whole, 0, false});
-  auto parts = configuration_parts(*next.value);
+  auto parts = configuration_parts(*next);
   for (auto& prefix : {kServicePrefix, kRoutePrefix, kTenantPrefix})
-    state.each(prefix, [&](const Row& r) {
+    state.for_each(prefix, [&](const Row& r) {
       if (!parts.count(r.key)) v.rows.push_back({r.key, {}, 0, true});
     });
   for (auto& [key, value] : parts) {
@@ -65,8 +65,8 @@
   const std::string text = u.value("v", "");
   auto next = Instance::from(id, text);
   if (!next) return {400, "not an instance", {}};
-  const Row* now = state.find_any(instance_key(id));
-  if (now && now->gone) return {};  // it has left; a late call changes nothing
+  const Row* now = state.find_including_deleted(instance_key(id));
+  if (now && now->deleted) return {};  // it has left; a late call changes nothing
   if (now) {
     auto old = Instance::from(id, now->value);
     if (old && (next->calls <= old->calls || next->same_but_calls(*old))) return {};
@@ -76,7 +76,7 @@
   // name.
   const std::string there = "\"" + next->address.text() + "\"";
   if (!now)
-    state.each("i/", [&](const Row& r) {
+    state.for_each("i/", [&](const Row& r) {
       if (r.value.find(there) == std::string::npos) return;  // reading every row would cost far more
       auto other = Instance::from({r.key.substr(2)}, r.value);
       if (other && other->address == next->address) v.rows.push_back({r.key, {}, 0, true});
@@ -89,8 +89,8 @@
 
 Verdict judge_leave(const StateTable& state, const Json& u) {
   InstanceId id{u.value("id", "")};
-  const Row* now = state.find_any(instance_key(id));
-  if (!now || now->gone) return {};
+  const Row* now = state.find_including_deleted(instance_key(id));
+  if (!now || now->deleted) return {};
   return {200, {}, {{instance_key(id), {}, 0, true}}};
 }
 
@@ -128,10 +128,10 @@
   for (auto& r : rows) {
     // The body as sent and the record of those taken are for the cores; a whole state does not name what is
     // gone.
-    if (r.key == kConfigKey || r.key.starts_with(kTakenKey) || (from == 0 && r.gone)) continue;
+    if (r.key == kConfigKey || r.key.starts_with(kTakenKey) || (from == 0 && r.deleted)) continue;
     if (size >= constants::kPieceBytes) pieces.push_back(Json::array()), size = 0;
-    Json row = Json::array({r.key, r.number});
-    if (!r.gone) row.push_back(r.value);
+    Json row = Json::array({r.key, r.sequence});
+    if (!r.deleted) row.push_back(r.value);
     pieces.back().push_back(std::move(row));
     size += r.key.size() + r.value.size() + 16;
   }
--- a/src/controller/control_api.cc
+++ b/src/controller/control_api.cc
@@ -59,11 +59,11 @@
 void Controller::on_beat(const std::string& id, const HttpRequest& r, HttpDone done) {
   if (!may_grant()) return done(plain(503, "out of the view"));
   auto beat = read_beat(id, r.body);
-  if (!beat) return done(plain(400, beat.reason));
-  const Instance& i = *beat.value;
-  const Row* row = node_->state().find_any(instance_key(i.id));
-  auto old = row && !row->gone ? Instance::from(i.id, row->value) : std::nullopt;
-  bool plain_renewal = row && (row->gone || (old && old->same_but_calls(i)));
+  if (!beat) return done(plain(400, beat.status().message()));
+  const Instance& i = *beat;
+  const Row* row = node_->state().find_including_deleted(instance_key(i.id));
+  auto old = row && !row->deleted ? Instance::from(i.id, row->value) : std::nullopt;
+  bool plain_renewal = row && (row->deleted || (old && old->same_but_calls(i)));
   if (plain_renewal && node_->serves(loop_.now())) return done({200, beat_answer(i), {}});
   std::string news;
   if (!old)
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -80,10 +80,10 @@
   auto inner = Acceptor::listen(loop_.io(), settings_.inner(),
                                 [this](asio::ip::tcp::socket s) { accept_inner(std::move(s)); });
   if (!inner) {
-    log_.say(inner.reason);
+    log_.say(inner.status().message());
     return 1;
   }
-  inner_ = std::move(*inner.value);
+  inner_ = std::move(*inner);
   auto at = settings_.listeners.find("ControlPlane");
   if (at == settings_.listeners.end()) {
     log_.say("The settings name no ControlPlane listener.");
@@ -93,20 +93,20 @@
     on_http(std::move(r), std::move(done));
   });
   if (!http) {
-    log_.say(http.reason);
+    log_.say(http.status().message());
     return 1;
   }
-  control_ = std::move(*http.value);
+  control_ = std::move(*http);
   loop_.on_signal(SIGTERM, [this] {
     log_.say("Asked to end.");
     part();
   });
   loop_.on_signal(SIGHUP, [this] {
     auto s = load_settings(settings_path());
-    log_.say(s ? "Settings read again." : "Settings not taken: " + s.reason);
+    log_.say(s ? "Settings read again." : "Settings not taken: " + s.status().message());
     if (!s) return;
-    settings_.platform = s.value->platform;
-    for (auto& seed : s.value->seeds) node_->meet(seed.host);
+    settings_.platform = s->platform;
+    for (auto& seed : s->seeds) node_->meet(seed.host);
   });
   log_.say("Core " + settings_.node_name + " serves at " + at->second.text() + ".");
   loop_.every(kCoreBeatMs / 5, [this] { tick(); });
@@ -360,7 +360,7 @@
       t->conn->send(Json{{"t", "grant"},
                          {"at", m.value("at", Json())},
                          {"ms", kNodeLeaseMs},
-                         {"k", node_->state().stored()},
+                         {"k", node_->state().last_sequence()},
                          {"n", members()},
                          {"life", life_},
                          {"c", now}}
@@ -466,7 +466,7 @@
 // The other cores hear how many nodes hang here and what they all have acknowledged.
 void Controller::tell_peers(bool always) {
   Millis now = loop_.now();
-  std::uint64_t acked = node_leases_.acknowledged(now, node_->state().stored());
+  std::uint64_t acked = node_leases_.acknowledged(now, node_->state().last_sequence());
   std::size_t nodes = node_leases_.count(now);
   cluster_.follow(node_->state());
   bool holding =
@@ -485,7 +485,7 @@
   Millis now = loop_.now();
   // A core put out lately may have granted leases that still run.
   if (now < node_->put_out_at() + kNodeLeaseMs + kDriftMarginMs) return false;
-  if (node_leases_.acknowledged(now, node_->state().stored()) < number) return false;
+  if (node_leases_.acknowledged(now, node_->state().last_sequence()) < number) return false;
   for (auto& m : node_->view().members) {
     if (m.name == node_->self()) continue;
     auto p = peers_.find(replication::host_of(m.name));
@@ -526,9 +526,9 @@
   if (patch)
     wrong = wrong_with_patch(r.body);
   else if (auto read = read_configuration(r.body))
-    revision = read.value->revision;
+    revision = read->revision;
   else
-    wrong = read.reason;
+    wrong = read.status().message();
   if (!wrong.empty()) {
     note("A configuration was refused: " + wrong + ".");
     return done(plain(400, wrong));
@@ -557,12 +557,12 @@
     }
     auto note = [&log](const std::string& sentence) { log.say(sentence); };
     auto disk = open_store(settings.data_directory, note);
-    if (!disk) log.say("The disk cannot be used: " + disk.reason + ". It is tried again.");
+    if (!disk) log.say("The disk cannot be used: " + disk.status().message() + ". It is tried again.");
     while (!disk) {  // full or stalled disks come back; until then there is nothing to serve
       std::this_thread::sleep_for(std::chrono::milliseconds(kDiskRetryMs));
       disk = open_store(settings.data_directory, note);
     }
-    return Controller(std::move(settings), std::move(*disk.value)).run();
+    return Controller(std::move(settings), std::move(*disk)).run();
   });
 }
 
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -17,6 +17,7 @@
 #include "quota/quota_allocator.h"
 #include "replication/replica.h"
 #include "storage/sqlite_store.h"
+#include "storage/store_recovery.h"
 
 namespace pebblespindle {
 
--- a/src/controller/status_report.cc
+++ b/src/controller/status_report.cc
@@ -54,7 +54,7 @@
         {"catching_up", catching_up}}},
       {"seated", node_->seated(now)},
       {"disk", node_->sick() ? "refuses writes" : "well"},
-      {"change", {{"stored", node_->state().stored()}, {"committed", node_->committed()}}},
+      {"change", {{"stored", node_->state().last_sequence()}, {"committed", node_->committed()}}},
       {"configuration", revision},
       {"duty",
        {{"holder", node_->view().head()}, {"token", node_->view().headed}, {"held_here", node_->leads(now)}}},
--- a/src/failover/failover.cc
+++ b/src/failover/failover.cc
@@ -174,7 +174,7 @@
   switch (job.step) {
     case Step::kIdle: {
       if (l->hold) {  // taken over from another holder, or just begun
-        job.held_number = state_.find(lead_key(service))->number;
+        job.held_number = state_.find(lead_key(service))->sequence;
         job.held_since = now;
         job.called = true;  // another holder may have called
         return go(job, Step::kHolding);
@@ -270,7 +270,7 @@
       j.retry_at = now_ + kSwitchRetryMs;
       return go(j, Step::kIdle);
     }
-    j.held_number = state_.find(lead_key(service))->number;
+    j.held_number = state_.find(lead_key(service))->sequence;
     j.held_since = now_;
     go(j, Step::kHolding);
     consider(now_, service, j);
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -26,7 +26,7 @@
 
 class HttpServer {
  public:
-  static Outcome<std::unique_ptr<HttpServer>> listen(asio::io_context& io, const Endpoint& at, HttpHandler h);
+  static Result<std::unique_ptr<HttpServer>> listen(asio::io_context& io, const Endpoint& at, HttpHandler h);
   void close() { acceptor_->close(); }
 
  private:
--- a/src/net/line_connection.h
+++ b/src/net/line_connection.h
@@ -56,8 +56,8 @@
 // Accepts connections for as long as it lives.
 class Acceptor {
  public:
-  static Outcome<std::unique_ptr<Acceptor>> listen(asio::io_context& io, const Endpoint& at,
-                                                   std::function<void(asio::ip::tcp::socket)> on_socket);
+  static Result<std::unique_ptr<Acceptor>> listen(asio::io_context& io, const Endpoint& at,
+                                                  std::function<void(asio::ip::tcp::socket)> on_socket);
   void close();
 
  private:
--- a/src/pooler/control_feed.cc
+++ b/src/pooler/control_feed.cc
@@ -13,9 +13,9 @@
   if (!m.is_object()) return false;
   const std::string t = field<std::string>(m, "t", "");
   if (t == "up") {
-    auto rows = rows_from_json(m["r"]);
+    auto rows = decode_rows(m["r"]);
     if (!rows) return false;
-    engine_.feed(number(m, "k"), std::move(*rows.value), field(m, "whole", false));
+    engine_.feed(number(m, "k"), std::move(*rows), field(m, "whole", false));
     return true;
   }
   if (t == "depth") {
--- a/src/pooler/pooler.cc
+++ b/src/pooler/pooler.cc
@@ -39,16 +39,16 @@
       touch();
       done({engine_.ready() ? 200 : 503, "", {}});
     });
-    if (!http) return refuse(http.reason);
-    ready_ = std::move(*http.value);
+    if (!http) return refuse(http.status().message());
+    ready_ = std::move(*http);
     auto clients = Acceptor::listen(loop_.io(), front->second,
                                     [this](asio::ip::tcp::socket s) { accept_client(std::move(s)); });
-    if (!clients) return refuse(clients.reason);
-    front_ = std::move(*clients.value);
+    if (!clients) return refuse(clients.status().message());
+    front_ = std::move(*clients);
     loop_.on_signal(SIGTERM, [this] { leave(); });
     loop_.on_signal(SIGHUP, [this] {
       auto s = load_settings(settings_path());
-      log_.say(s ? "Settings read again." : "Settings not taken: " + s.reason);
+      log_.say(s ? "Settings read again." : "Settings not taken: " + s.status().message());
     });
     log_.say("Pooler " + settings_.node_name + " serves at " + front->second.text() + ".");
     loop_.every(kNodeRenewMs, [this] { renew(); });
--- a/src/replication/replica.cc
+++ b/src/replication/replica.cc
@@ -9,7 +9,7 @@
 namespace pebblespindle::replication {
 using namespace constants;
 
-Node::Node(Start start, Disk& disk, Outlet& out, Millis now)
+Node::Node(Start start, Storage& disk, Outlet& out, Millis now)
     : self_(start.host),
       target_(2 * start.losses + 1),
       piece_bytes_(start.piece_bytes),
@@ -43,7 +43,7 @@
 
 // Takes the state from the disk: at the start, and after the disk has refused a write.
 void Node::load() {
-  auto meta = disk_.meta();
+  auto meta = disk_.metadata();
   auto parsed = Json::parse(meta["durable"], nullptr, false);
   auto v = View::from(Json::parse(meta["view"], nullptr, false));
   state_.clear();
@@ -68,21 +68,23 @@
   synced_ = number(parsed, "synced");
   for (auto& r : disk_.rows()) state_.put(r);
   auto stored = Json::parse(meta["stored"], nullptr, false);
-  if (stored.is_number_unsigned()) state_.set_stored(std::max<std::uint64_t>(state_.stored(), stored));
-  state_.trim(number(parsed, "trimmed"));
+  if (stored.is_number_unsigned())
+    state_.set_last_sequence(std::max<std::uint64_t>(state_.last_sequence(), stored));
+  state_.compact(number(parsed, "trimmed"));
   // A state of a former version knows no terms: all that it holds counts as of the present head's.
-  if (!history_.enter(parsed.value("terms", Json())) && state_.stored() > 0) history_.begin(view_.headed, 1);
+  if (!history_.enter(parsed.value("terms", Json())) && state_.last_sequence() > 0)
+    history_.begin(view_.headed, 1);
   stage_ = Stage::from(parsed.value("stage", Json()));
   if (stage_)
-    for (auto& r : disk_.staged()) staged_.put(r);
+    for (auto& r : disk_.staged_rows()) staged_.put(r);
   // What the tail holds, all members before it hold as well.
-  if (tail() && synced_ == view_.number) committed_ = state_.stored();
+  if (tail() && synced_ == view_.number) committed_ = state_.last_sequence();
   for (auto& m : view_.members) meet(host_of(m.name));
   for (auto& name : view_.voters) meet(host_of(name));
 }
 
 // Everything durable but the rows is small; it is written whole with each batch.
-bool Node::save(Millis now, Batch b) {
+bool Node::save(Millis now, WriteBatch b) {
   Json d{{"self", self_},
          {"pi", promised_.instance},
          {"pb", promised_.ballot},
@@ -90,13 +92,13 @@
          {"ab", accepted_.ballot},
          {"synced", synced_},
          {"terms", history_.above(0)},
-         {"trimmed", state_.trimmed()}};
+         {"trimmed", state_.compacted_to()}};
   if (stage_) d["stage"] = stage_->json();
   if (accepted_view_) d["av"] = accepted_view_->json();
-  b.meta["durable"] = d.dump();
-  b.meta["view"] = view_.json().dump();
-  b.meta["stored"] = std::to_string(state_.stored());
-  if (disk_.commit(b)) return true;
+  b.metadata["durable"] = d.dump();
+  b.metadata["view"] = view_.json().dump();
+  b.metadata["stored"] = std::to_string(state_.last_sequence());
+  if (disk_.commit(b).is_ok()) return true;
   // What memory holds is not what the disk holds: this core takes no part until it has read the disk anew.
   sick_ = true;
   give_back(now);
@@ -108,7 +110,7 @@
 void Node::recover(Millis now) {
   if (now < try_disk_at_) return;
   try_disk_at_ = now + kDiskRetryMs;
-  if (!disk_.reopen()) return;  // it has taken a trial write
+  if (!disk_.reopen().is_ok()) return;  // it has taken a trial write
   sick_ = false;
   load();
   unseated_since_ = now;
@@ -231,7 +233,7 @@
       else if (p.out_of_step_since < 0)
         p.out_of_step_since = now;
     }
-    bool waits = in_step() && !tail() && committed_ < state_.stored() && seated(now);
+    bool waits = in_step() && !tail() && committed_ < state_.last_sequence() && seated(now);
     if (!waits)
       stuck_since_ = -1;
     else if (stuck_since_ < 0)
@@ -240,7 +242,7 @@
     answer_origins(now);  // what waited for the seat
     ask_state(now);
     // Nothing comes back: the next member is asked what it holds, and is sent what it lacks.
-    if (in_step() && !tail() && (committed_ < state_.stored() || !in_step(view_.after(self_))) &&
+    if (in_step() && !tail() && (committed_ < state_.last_sequence() || !in_step(view_.after(self_))) &&
         now >= last_progress_ + kSubmitRetryMs) {
       sent_.reset();
       pass_on(now);
@@ -330,9 +332,9 @@
     out_.send(next, {{"t", "ask"}, {"n", view_.number}});
     return;
   }
-  Json m = rows_after(*sent_, state_.since(*sent_));
+  Json m = rows_after(*sent_, state_.rows_after(*sent_));
   m["n"] = view_.number;
-  sent_ = state_.stored();
+  sent_ = state_.last_sequence();
   out_.send(next, m);
 }
 
@@ -341,8 +343,8 @@
   Json m{{"t", "up"},
          {"base", base},
          {"bt", history_.at(base)},
-         {"k", state_.stored()},
-         {"r", rows_to_json(rows)}};
+         {"k", state_.last_sequence()},
+         {"r", encode_rows(rows)}};
   if (Json terms = history_.above(base); !terms.empty()) m["e"] = std::move(terms);
   Json o = Json::array();
   for (auto& x : origins_)
@@ -358,22 +360,22 @@
   // The member before speaks by itself; else it is an answer to the last question.
   const bool answer = number(m, "q") != 0 && number(m, "q") == asked_;
   if (member ? view_.before(self_) != from : !answer) return;
-  auto rows = rows_from_json(m.value("r", Json()));
+  auto rows = decode_rows(m.value("r", Json()));
   if (!rows) return;
-  const std::uint64_t base = number(m, "base"), k = number(m, "k"), before = state_.stored();
+  const std::uint64_t base = number(m, "base"), k = number(m, "k"), before = state_.last_sequence();
   if (base > before || k < base || !history_.agrees(base, number(m, "bt")) || (joining && base != before)) {
     if (answer) return;
     asked_at_ = -100000;
     return ask_state(now);
   }
-  Batch b;
+  WriteBatch b;
   drop_stage(b);
   if (k > before) {
     history_.enter(m.value("e", Json()));
-    for (auto& r : *rows.value)
-      if (r.number > before) b.rows.push_back(r);
+    for (auto& r : *rows)
+      if (r.sequence > before) b.rows.push_back(r);
     for (auto& r : b.rows) state_.put(r);
-    state_.set_stored(k);
+    state_.set_last_sequence(k);
   }
   if (member) synced_ = view_.number;
   if ((k > before || (member && joining) || b.clear_staged) && !save(now, b)) return;
@@ -391,7 +393,7 @@
     }
   if (joining) return in_step_now(now);
   if (tail())
-    commit_up_to(now, state_.stored());
+    commit_up_to(now, state_.last_sequence());
   else if (k > before)
     pass_on(now);
 }
@@ -400,7 +402,7 @@
 void Node::in_step_now(Millis now) {
   last_progress_ = now;
   if (tail()) {
-    commit_up_to(now, state_.stored());
+    commit_up_to(now, state_.last_sequence());
   } else if (have_waiting_) {
     Json m = *std::exchange(have_waiting_, std::nullopt);
     on_have(now, view_.after(self_), m);
@@ -418,7 +420,7 @@
 void Node::on_commit(Millis now, const CoreName& from, const Json& m) {
   if (number(m, "n") != view_.number || view_.after(self_) != from || !in_step()) return;
   stuck_since_ = -1;
-  commit_up_to(now, std::min(number(m, "k"), state_.stored()));
+  commit_up_to(now, std::min(number(m, "k"), state_.last_sequence()));
 }
 
 void Node::commit_up_to(Millis now, std::uint64_t k) {
@@ -472,22 +474,22 @@
 
 // One batch is on its way at a time: what is offered meanwhile shares the next sync and the next message.
 void Node::take_waiting(Millis now) {
-  if (waiting_.empty() || committed_ < state_.stored()) return;
+  if (waiting_.empty() || committed_ < state_.last_sequence()) return;
   auto offers = std::move(waiting_);
   waiting_.clear();
   if (view_.head() != self_ || !seated(now)) return;  // they are offered again, here or elsewhere
-  Batch b;
+  WriteBatch b;
   for (auto& o : offers) {
     if (now >= o.at + kSubmitGiveUpMs) continue;  // nobody waits for it any more
     Verdict v = out_.judge(state_, o.update);
     if (v.status != 200 || v.rows.empty()) {
       origins_.push_back(
-          {state_.stored(), o.core, o.id, v.status, v.status == 200 ? "same" : v.reason, o.tried});
+          {state_.last_sequence(), o.core, o.id, v.status, v.status == 200 ? "same" : v.reason, o.tried});
       continue;
     }
-    std::uint64_t next = state_.stored() + 1;
+    std::uint64_t next = state_.last_sequence() + 1;
     for (auto& r : v.rows) {
-      r.number = next;
+      r.sequence = next;
       state_.put(r);
       b.rows.push_back(r);
     }
@@ -495,7 +497,7 @@
   }
   if (b.rows.empty()) return answer_origins(now);
   if (!save(now, b)) return;
-  if (tail()) return commit_up_to(now, state_.stored());
+  if (tail()) return commit_up_to(now, state_.last_sequence());
   pass_on(now);
 }
 
--- a/src/replication/replica.h
+++ b/src/replication/replica.h
@@ -9,6 +9,7 @@
 #include "replication/term_history.h"
 #include "replication/view.h"
 #include "storage/state_table.h"
+#include "storage/storage.h"
 
 namespace pebblespindle::replication {
 
@@ -44,7 +45,7 @@
     std::uint64_t life = 0;                                 // drawn anew for each start of the process
     std::size_t piece_bytes = constants::kStatePieceBytes;  // of a state that goes to another core
   };
-  Node(Start start, Disk& disk, Outlet& out, Millis now);
+  Node(Start start, Storage& disk, Outlet& out, Millis now);
 
   void tick(Millis now);
   // A malformed message (chain/shape.h) changes nothing.
@@ -66,7 +67,7 @@
   const View& view() const { return view_; }
   const StateTable& state() const { return state_; }
   std::uint64_t committed() const { return committed_; }
-  bool settled() const { return in_step() && committed_ == state_.stored(); }
+  bool settled() const { return in_step() && committed_ == state_.last_sequence(); }
   bool seated(Millis now, Millis guard = 0) const;  // holds its place by a majority's lease
   bool leads(Millis now) const;                     // holds the duty of the head, and may act on it
   // What the state holds may be handed out: all of it is committed, and no newer view can be at work.
@@ -117,7 +118,7 @@
 
   bool still_grants(const CoreName& to) const;
   bool may_vote() const { return !sick_ && !leaving_ && view_.votes(self_); }
-  bool save(Millis now, Batch b = {});
+  bool save(Millis now, WriteBatch b = {});
   void load();
   void recover(Millis now);
 
@@ -156,11 +157,11 @@
   void commit_up_to(Millis now, std::uint64_t number);
 
   // catching up
-  struct Stage {              // of a state that is being taken, until it is whole
-    bool whole = false;       // it will replace what is held; else it adds to it
-    bool scanned = false;     // all keys have been walked; what has changed since is still to come, by number
-    std::string cursor;       // of the walk by key
-    StateTable::Place place;  // of the walk by number
+  struct Stage {           // of a state that is being taken, until it is whole
+    bool whole = false;    // it will replace what is held; else it adds to it
+    bool scanned = false;  // all keys have been walked; what has changed since is still to come, by number
+    std::string cursor;    // of the walk by key
+    StateTable::Position place;       // of the walk by number
     std::uint64_t top = 0, term = 0;  // where the core stood that sent the last piece
     Json json() const;
     static std::optional<Stage> from(const Json& j);
@@ -170,7 +171,7 @@
   void on_have(Millis now, const CoreName& from, const Json& m);
   void give_state(const CoreName& to, const Json& m);
   void on_piece(Millis now, const CoreName& from, const Json& m);
-  void drop_stage(Batch& b);
+  void drop_stage(WriteBatch& b);
   void answer_origins(Millis now);
   void finish(std::uint64_t id, Answer a);
   void offer(Millis now, std::uint64_t id, Pending& p);
@@ -181,7 +182,7 @@
   CoreName self_;
   std::size_t target_;  // voters wanted
   std::size_t piece_bytes_;
-  Disk& disk_;
+  Storage& disk_;
   Outlet& out_;
   Millis born_;
   std::set<std::string> contacts_;  // hosts of other cores
--- a/src/replication/state_transfer.cc
+++ b/src/replication/state_transfer.cc
@@ -10,7 +10,7 @@
 using namespace constants;
 
 Json Node::Stage::json() const {
-  return {{"w", whole},      {"e", scanned}, {"c", cursor}, {"b", place.number},
+  return {{"w", whole},      {"e", scanned}, {"c", cursor}, {"b", place.sequence},
           {"bk", place.key}, {"k", top},     {"kt", term}};
 }
 
@@ -49,8 +49,8 @@
          {"q", ++asked_},
          {"s", synced_},
          {"c", committed_},
-         {"k", state_.stored()},
-         {"kt", history_.at(state_.stored())}};
+         {"k", state_.last_sequence()},
+         {"kt", history_.at(state_.last_sequence())}};
   if (stage_) m["st"] = stage_->json();
   out_.send(from, m);
 }
@@ -64,7 +64,7 @@
     return;
   }
   if (next && number(m, "s") == view_.number) {
-    if (number(m, "k") > state_.stored()) {
+    if (number(m, "k") > state_.last_sequence()) {
       // It was sent more than is held here: this disk has gone back. What it holds is no state of the view.
       out_.note("The disk holds less than was passed on from here. This core takes the state anew.");
       synced_ = 0;
@@ -74,20 +74,20 @@
     // It is in step: what it holds in the present view is a part of what is held here.
     peers_[from].synced = view_.number;
     sent_ = number(m, "k");
-    if (*sent_ < state_.stored()) pass_on(now);
+    if (*sent_ < state_.last_sequence()) pass_on(now);
     stuck_since_ = -1;
-    return commit_up_to(now, std::min(number(m, "c"), state_.stored()));
+    return commit_up_to(now, std::min(number(m, "c"), state_.last_sequence()));
   }
   give_state(from, m);
 }
 
 // What a core that has told where it stands is sent next.
 void Node::give_state(const CoreName& to, const Json& m) {
-  const std::uint64_t k = number(m, "k"), top = state_.stored();
-  const bool follows = k >= state_.trimmed() && k <= top && history_.agrees(k, number(m, "kt"));
+  const std::uint64_t k = number(m, "k"), top = state_.last_sequence();
+  const bool follows = k >= state_.compacted_to() && k <= top && history_.agrees(k, number(m, "kt"));
   Json a{{"n", view_.number}, {"q", number(m, "q")}};
   if (follows) {
-    auto lacks = state_.by_number({k + 1, {}}, piece_bytes_);
+    auto lacks = state_.scan_by_sequence({k + 1, {}}, piece_bytes_);
     if (lacks.complete) {
       a.update(rows_after(k, lacks.rows));
       if (view_.after(self_) == to) sent_ = top;
@@ -98,41 +98,41 @@
   // one.
   auto stage = Stage::from(m.value("st", Json()));
   bool fresh = !stage || stage->top > top || !history_.agrees(stage->top, stage->term) ||
-               stage->place.number <= state_.trimmed() || (!stage->whole && !follows);
+               stage->place.sequence <= state_.compacted_to() || (!stage->whole && !follows);
   if (fresh) {
     stage = Stage{};
     stage->whole = !follows || k == 0;
     stage->scanned = !stage->whole;
-    stage->place.number = (stage->whole ? top : k) + 1;
+    stage->place.sequence = (stage->whole ? top : k) + 1;
     a["new"] = true;
   }
-  StateTable::Walk walk;
+  StateTable::Chunk walk;
   bool whole_now = false;
   if (!stage->scanned) {
-    walk = state_.by_key(stage->cursor, piece_bytes_);
+    walk = state_.scan_by_key(stage->cursor, piece_bytes_);
     if (!walk.rows.empty()) stage->cursor = walk.rows.back().key;
     stage->scanned = walk.complete;
-    whole_now = walk.complete && stage->place.number > top;  // nothing has changed meanwhile
+    whole_now = walk.complete && stage->place.sequence > top;  // nothing has changed meanwhile
   } else {
-    walk = state_.by_number(stage->place, piece_bytes_);
-    if (!walk.rows.empty()) stage->place = {walk.rows.back().number, walk.rows.back().key};
+    walk = state_.scan_by_sequence(stage->place, piece_bytes_);
+    if (!walk.rows.empty()) stage->place = {walk.rows.back().sequence, walk.rows.back().key};
     whole_now = walk.complete;
   }
   stage->top = top;
   stage->term = history_.at(top);
   a["t"] = "pc";
   a["st"] = stage->json();
-  a["r"] = rows_to_json(walk.rows);
+  a["r"] = encode_rows(walk.rows);
   if (whole_now) {
     a["e"] = history_.above(0);
-    a["trimmed"] = state_.trimmed();
+    a["trimmed"] = state_.compacted_to();
     a["size"] = state_.size();
     if (view_.after(self_) == to) sent_ = top;
   }
   out_.send(to, a);
 }
 
-void Node::drop_stage(Batch& b) {
+void Node::drop_stage(WriteBatch& b) {
   if (!stage_) return;
   stage_.reset();
   staged_.clear();
@@ -146,15 +146,15 @@
   const bool member = view_.has(self_);
   if (member && (view_.before(self_) != from || synced_ == view_.number)) return;
   auto stage = Stage::from(m.value("st", Json()));
-  auto rows = rows_from_json(m.value("r", Json()));
+  auto rows = decode_rows(m.value("r", Json()));
   if (!stage || !rows || (!stage_ && !m.contains("new"))) return;
-  Batch b;
+  WriteBatch b;
   if (m.contains("new")) {
     drop_stage(b);
     b.clear_staged = true;
   }
-  for (auto& r : *rows.value) staged_.put(r);
-  b.staged = std::move(*rows.value);
+  for (auto& r : *rows) staged_.put(r);
+  b.staged_rows = std::move(*rows);
   stage_ = stage;
   asked_at_ = -100000;  // the next one is asked for at once
   if (!m.contains("e")) {
@@ -162,27 +162,27 @@
     return;
   }
   History history;
-  staged_.trim(number(m, "trimmed"));
+  staged_.compact(number(m, "trimmed"));
   if (!history.enter(m["e"]) || (stage->whole && staged_.size() != number(m, "size"))) {
     out_.note("A state taken from " + from + " is not whole. It is dropped and taken anew.");
     drop_stage(b);
-    b.staged.clear();
+    b.staged_rows.clear();
     save(now, b);
     return;
   }
   out_.note("The state up to " + std::to_string(stage->top) + " has been taken from " + from + ", " +
             std::to_string(staged_.size()) + (stage->whole ? " rows in whole." : " rows that were missing."));
   if (stage->whole) {
-    b.promote = Batch::Promote::kReplace;
-    state_.take(staged_);
-    state_.trim(number(m, "trimmed"));
-    b.trim = state_.trimmed();
+    b.staged_action = WriteBatch::StagedAction::kReplaceRows;
+    state_.replace_with(staged_);
+    state_.compact(number(m, "trimmed"));
+    b.compact_to = state_.compacted_to();
   } else {
-    b.promote = Batch::Promote::kMerge;
-    for (auto& r : staged_.since(0)) state_.put(r);
+    b.staged_action = WriteBatch::StagedAction::kMergeIntoRows;
+    for (auto& r : staged_.rows_after(0)) state_.put(r);
     staged_.clear();
   }
-  state_.set_stored(stage->top);
+  state_.set_last_sequence(stage->top);
   history_ = std::move(history);
   stage_.reset();
   origins_.clear();
@@ -205,10 +205,10 @@
     trims_.erase(trims_.begin());
   }
   to = std::min(to, acked);
-  if (to <= state_.trimmed()) return;
-  state_.trim(to);
-  Batch b;
-  b.trim = to;
+  if (to <= state_.compacted_to()) return;
+  state_.compact(to);
+  WriteBatch b;
+  b.compact_to = to;
   save(now, b);
 }
 
--- a/src/replication/view_change.cc
+++ b/src/replication/view_change.cc
@@ -241,7 +241,7 @@
   // them.
   bool head = me && v.head() == self_ && synced_ >= me->joined;
   if (head) synced_ = v.number;
-  if (head && v.headed == v.number) history_.begin(v.headed, state_.stored() + 1);
+  if (head && v.headed == v.number) history_.begin(v.headed, state_.last_sequence() + 1);
   sent_.reset();
   have_waiting_.reset();
   source_since_ = now;
--- a/src/settings/run_role.h
+++ b/src/settings/run_role.h
@@ -8,8 +8,8 @@
 template <class Run>
 int run_role(const char* prefix, Run run) {
   auto settings = load_settings(settings_path());
-  if (settings) return run(std::move(*settings.value));
-  Log(prefix).say("Settings not taken: " + settings.reason + ".");
+  if (settings) return run(std::move(*settings));
+  Log(prefix).say("Settings not taken: " + settings.status().message() + ".");
   return 1;
 }
 
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -41,9 +41,9 @@
   Endpoint feed() const { return {"127.0.0.1", std::uint16_t(inner_first + 1)}; }  // agent feeds its pooler
 };
 
-Outcome<Settings> read_settings(std::string_view text);
-Outcome<Settings> load_settings(const std::string& path);
+Result<Settings> read_settings(std::string_view text);
+Result<Settings> load_settings(const std::string& path);
 std::string settings_path();  // from PEBBLESPINDLE_SETTINGS
-Outcome<std::string> read_file(const std::string& path);
+Result<std::string> read_file(const std::string& path);
 
 }  // namespace pebblespindle
--- a/src/sidecar/connections.cc
+++ b/src/sidecar/connections.cc
@@ -7,8 +7,8 @@
 
 std::string PeerLinks::listen(const Endpoint& at) {
   auto a = Acceptor::listen(loop_.io(), at, [this](asio::ip::tcp::socket s) { accept(std::move(s)); });
-  if (!a) return a.reason;
-  acceptor_ = std::move(*a.value);
+  if (!a) return a.status().message();
+  acceptor_ = std::move(*a);
   return {};
 }
 
--- a/src/sidecar/sidecar.cc
+++ b/src/sidecar/sidecar.cc
@@ -80,17 +80,17 @@
       if (r.path != "/readiness") return done({404, "", {}});
       done({cluster_.fed() && !leaving_ ? 200 : 503, "", {}});
     });
-    if (!ready) return refuse(ready.reason);
+    if (!ready) return refuse(ready.status().message());
     auto control =
         HttpServer::listen(loop_.io(), listener("ControlPlane"),
                            [this](HttpRequest r, HttpDone done) { on_beat(std::move(r), std::move(done)); });
-    if (!control) return refuse(control.reason);
+    if (!control) return refuse(control.status().message());
     if (auto why = links_.listen(settings_.sidecar()); !why.empty()) return refuse(why);
     if (auto why = front_.listen(listener("OutboundAddr")); !why.empty()) return refuse(why);
     loop_.on_signal(SIGTERM, [this] { leave(); });
     loop_.on_signal(SIGHUP, [this] {
       auto s = load_settings(settings_path());
-      log_.say(s ? "Settings read again." : "Settings not taken: " + s.reason);
+      log_.say(s ? "Settings read again." : "Settings not taken: " + s.status().message());
     });
     log_.say("Sidecar " + settings_.node_name + " serves beside " + settings_.target_service + ".");
     loop_.every(kNodeRenewMs, [this] { renew(); });
@@ -160,8 +160,8 @@
     }
     if (r.method != "PUT") return done({404, "", {}});
     auto beat = read_beat(id.value, r.body);
-    if (!beat) return done({400, Json{{"ErrorMessage", beat.reason}}.dump(), {}});
-    Instance i = *beat.value;
+    if (!beat) return done({400, Json{{"ErrorMessage", beat.status().message()}}.dump(), {}});
+    Instance i = *beat;
     // Others reach it through here.
     i.address = settings_.sidecar();
     if (!(left_ == id)) in_.database(i);
@@ -191,12 +191,12 @@
     if (!m.is_object()) return;
     const std::string t = m.value("t", "");
     if (t == "up") {
-      auto rows = rows_from_json(m["r"]);
+      auto rows = decode_rows(m["r"]);
       if (!rows) return;
       bool was = cluster_.fed();
       std::uint64_t k = m.value("k", std::uint64_t(0));
-      if (m.value("whole", false)) *rows.value = cluster_.changes_to(k, std::move(*rows.value));
-      cluster_.apply(k, *rows.value);
+      if (m.value("whole", false)) *rows = cluster_.changes_to(k, std::move(*rows));
+      cluster_.apply(k, *rows);
       if (!was && cluster_.fed())
         log_.say("Ready with configuration " + std::to_string(cluster_.config().revision) + ".");
       touch();
--- a/src/storage/sqlite_store.h
+++ b/src/storage/sqlite_store.h
@@ -1,56 +1,48 @@
-// The state's disk on SQLite: one connection, exclusive, synced at every commit.
+// A replica's storage on SQLite: one file, one connection, exclusive, synced at every commit.
+//
+// Tables: rows and staged (key, value, number, gone), meta (key, value). An installation holds data of this
+// form, so their names stay as they are.
 #pragma once
-#include <functional>
 #include <memory>
 
-#include "storage/state_table.h"
+#include "storage/storage.h"
 
 struct sqlite3;
 
 namespace pebblespindle {
 
-// The names in the state's folder. Made, changed and removed ones last once sync() has said so.
-struct Folder {
-  std::function<bool(const std::string& path)> exists;
-  std::function<bool(const std::string& from, const std::string& to)> rename;
-  std::function<bool(const std::string& path)> remove;  // true as well where there is nothing
-  std::function<bool()> sync;
-  static Folder of(const std::string& directory);  // on the machine's own file system
-};
-
-class SqliteStore : public Disk {
+class SqliteStore : public Storage {
  public:
-  // vfs: the name of an SQLite VFS, for tests that lose power; null for the system's own.
-  // A file that is damaged fails with `damaged` set; other failures may pass.
-  static Outcome<std::unique_ptr<SqliteStore>> open(const std::string& path, const char* vfs = nullptr,
-                                                    bool* damaged = nullptr);
+  // Opens the file, or creates it. vfs: the name of an SQLite VFS, for tests that lose power; null for the
+  // system's own. kCorruption: the file is damaged and will not get better; kIoError: it may succeed later.
+  static Result<std::unique_ptr<SqliteStore>> open(const std::string& path, const char* vfs = nullptr);
   ~SqliteStore() override;
-  bool commit(const Batch& batch) override;
-  bool reopen() override;
-  // Why rows and meta cannot be of one history; empty when they can.
-  std::string contradiction();
+
+  Status commit(const WriteBatch& batch) override;
+  Status reopen() override;
   std::vector<Row> rows() override;
-  std::vector<Row> staged() override;
-  std::map<std::string, std::string> meta() override;
+  std::vector<Row> staged_rows() override;
+  std::map<std::string, std::string> metadata() override;
+  // kCorruption when rows and metadata cannot be of one history. A replica writes both in one batch, so each
+  // contradiction stands for a file that was put together from several.
+  Status check_consistency();
 
  private:
   SqliteStore(std::string path, const char* vfs) : path_(std::move(path)), vfs_(vfs) {}
-  int connect();  // an SQLite code
+  int connect();  // an SQLite result code
+  int check_pages();
   bool run(const std::string& sql);
   bool put(const char* sql, const std::vector<Row>& rows);
-  bool promote(Batch::Promote how);
-  std::vector<Row> read(const char* sql);
+  bool put_metadata(const std::map<std::string, std::string>& metadata);
+  bool apply(WriteBatch::StagedAction action);
+  bool apply(const WriteBatch& batch);
+  bool compact(SequenceNumber sequence);
+  std::vector<Row> read_rows(const char* sql);
+  Status last_error() const;
+
   std::string path_;
   const char* vfs_;
-  sqlite3* db_ = nullptr;
+  sqlite3* database_ = nullptr;
 };
 
-// Opens the state in a directory. A file that is damaged or contradicts itself is set aside under another
-// name and not used: the core is a newcomer.
-Outcome<std::unique_ptr<SqliteStore>> open_store(const std::string& directory,
-                                                 const std::function<void(const std::string&)>& note);
-Outcome<std::unique_ptr<SqliteStore>> open_store(const std::string& directory, const Folder& folder,
-                                                 const char* vfs,
-                                                 const std::function<void(const std::string&)>& note);
-
 }  // namespace pebblespindle
--- /dev/null
+++ b/tests/config/records_test.cc
@@ -0,0 +1,116 @@
+#include <gtest/gtest.h>
+
+#include "config/cluster_state.h"
+#include "config/update_validation.h"
+
+namespace pebblespindle::test {
+namespace {
+
+const std::string kConfig =
+    R"({"Revision":3,"Routes":[{"Name":"r","Hostname":"h","PathPrefix":"/","RouteType":"primary",
+  "TimeoutMs":1000,"TargetService":"s"}],"Services":[{"Name":"s"}]})";
+
+std::string changed(std::string text, const std::string& from, const std::string& to) {
+  return text.replace(text.find(from), from.size(), to);
+}
+
+const std::string kMeshConfig =
+    R"({"Revision":3,"Routes":[
+  {"Name":"a","Hostname":"h.example","PathPrefix":"/x/","RouteType":"idempotent","TimeoutMs":1000,"TargetService":"s"},
+  {"Name":"b","Hostname":"h.example","PathPrefix":"/x/y/","RouteType":"non_idempotent","TimeoutMs":700,
+   "WeightedTargets":[{"TargetService":"s","Weight":90},{"TargetService":"t","Weight":10}]}],
+  "Services":[{"Name":"s"},{"Name":"t"}],"Limits":{"MaxHeaderBytes":16384,"IdleTimeoutMs":15000}})";
+
+// Each case of the page, of both kinds of deployment; the first field says where the change is made.
+TEST(Configuration, EveryInvalidCaseIsRefused) {
+  ASSERT_TRUE(read_configuration(kConfig)) << read_configuration(kConfig).status().message();
+  ASSERT_TRUE(read_configuration(kMeshConfig)) << read_configuration(kMeshConfig).status().message();
+  struct Case {
+    const std::string& good;
+    const char *from, *to;
+  };
+  for (auto& c : std::initializer_list<Case>{
+           {kConfig, R"("Services":[{"Name":"s"}]})", R"("Services":[{"Na)"},  // cut short
+           {kConfig, R"("TargetService":"s")", R"("TargetService":"t")"},
+           {kConfig, R"("TargetService":"s")", R"("MaxAttempts":1)"},  // no service at all
+           {kConfig, "1000", "0"},
+           {kConfig, "1000", "-5"},
+           {kConfig, "1000", R"("1000")"},
+           {kConfig, R"("Revision":3)", R"("Revision":0)"},
+           {kConfig, R"("Revision":3)", R"("Revision":3.5)"},
+           {kConfig, R"("Revision":3)", R"("Revision":"3")"},
+           {kConfig, R"("Revision":3)", R"("Revision":3,"Revision":4)"},
+           {kConfig, R"("Revision":3,)", ""},
+           {kConfig, R"("RouteType":"primary")", R"("RouteType":"other")"},
+           {kConfig, R"([{"Name":"s"}])", R"([{"Name":"s"},{"Name":"s"}])"},
+           {kConfig, R"([{"Name":"s"}])", R"({"Name":"s"})"},
+           {kMeshConfig, "/x/y/", "/x/"},      // the same place
+           {kMeshConfig, R"("b")", R"("a")"},  // the same name
+           {kMeshConfig, R"("t","W)", R"("u","W)"},
+           {kMeshConfig, "90", "-1"},
+           {kMeshConfig, "Weight\":90},{\"TargetService\":\"t\",\"Weight\":10", "Weight\":0"},  // sum 0
+           {kMeshConfig, "15000", R"("15 s")"}})
+    EXPECT_FALSE(read_configuration(changed(c.good, c.from, c.to))) << c.from << " -> " << c.to;
+  EXPECT_EQ(read_configuration(changed(kConfig, "1000", "0.4"))->routes.begin()->second.timeout_ms, 1);
+}
+
+// PATCH names items; what it leaves out stays. Judged against the base it names, in one history with PUT.
+TEST(Configuration, AChangeOfNamedItemsIsMergedAndJudgedAsAWhole) {
+  StateTable state;
+  auto put = [&](const Json& u) {
+    auto v = judge_update(state, u);
+    std::uint64_t n = state.last_sequence() + 1;
+    for (auto& r : v.rows) r.sequence = n, state.put(r);
+    return v.status;
+  };
+  const std::string first = R"({"Revision":5,"Upsert":{"Routes":[{"Name":"c","Hostname":"h.example",
+    "PathPrefix":"/z/","RouteType":"idempotent","TimeoutMs":10,"TargetService":"t"}]},"Remove":{"Routes":["a"]}})";
+  EXPECT_EQ(put(patch_update(0, first)), 412) << "there is nothing yet";
+  EXPECT_EQ(put(config_update(0, kMeshConfig)), 200);
+  EXPECT_EQ(put(patch_update(3, first)), 200);
+  EXPECT_EQ(put(patch_update(3, first)), 200) << "offered again: taken";
+  ClusterState cluster;
+  cluster.follow(state);
+  EXPECT_EQ(cluster.config().revision, 5u);
+  EXPECT_FALSE(cluster.route("h.example", "/x/q"));
+  EXPECT_EQ(cluster.route("h.example", "/x/y/q/r")->name, "b");
+  EXPECT_EQ(cluster.route("h.example", "/x/y/q/r")->split.size(), 2u);
+  EXPECT_EQ(cluster.route("h.example", "/z/q")->service, "t");
+  EXPECT_FALSE(cluster.route("h.example", "/zz/q"));
+  EXPECT_FALSE(cluster.route("other.example", "/z/q"));
+  for (const char* bad :
+       {R"({"Revision":5})",                                                     // not above
+        R"({"Revision":9,"Upsert":{"Routes":[{"Hostname")",                      // cut short
+        R"({"Revision":9,"Remove":{"Services":["t"]}})",                         // a route of it is left
+        R"({"Revision":9,"Upsert":{"Routes":[{"Name":"c","Hostname":"h.example","PathPrefix":"/x/y/",
+             "RouteType":"idempotent","TimeoutMs":10,"TargetService":"t"}]}})",  // the same place
+        R"({"Revision":9,"Upsert":{"Routes":[{"Hostname":"x"}]}})",              // no name
+        R"({"Revision":9,"Remove":["c"]})"})
+    EXPECT_EQ(put(patch_update(5, bad)), 400) << bad;
+  EXPECT_EQ(put(patch_update(3, R"({"Revision":9})")), 412);
+  EXPECT_EQ(put(patch_update(5, R"({"Revision":9,"Upsert":{"Limits":{"IdleTimeoutMs":700}}})")), 200);
+  cluster.follow(state);
+  EXPECT_EQ(cluster.config().limits.idle_ms, 700);
+  EXPECT_EQ(cluster.config().limits.header_bytes, 16384u);
+  EXPECT_EQ(Json::parse(state.find(kConfigKey)->value)["Routes"].size(), 2u);
+}
+
+TEST(Configuration, IsTakenByCompareAndSet) {
+  StateTable state;
+  auto offer = [&](std::uint64_t base, const std::string& body) {
+    auto v = judge_update(state, config_update(base, body));
+    for (auto& r : v.rows) r.sequence = state.last_sequence() + 1, state.put(r);
+    return v.status;
+  };
+  EXPECT_EQ(offer(1, kConfig), 503) << "version 1 may be on its way";
+  EXPECT_EQ(offer(0, kConfig), 200);
+  EXPECT_EQ(offer(0, kConfig), 200);  // the same again, as a call without a clear answer is repeated
+  EXPECT_EQ(offer(0, changed(kConfig, ":3", ":7")), 412);
+  EXPECT_EQ(offer(3, changed(kConfig, ":3", ":2")), 400);
+  EXPECT_EQ(offer(3, changed(kConfig, ":3", ":7")), 200);
+  EXPECT_EQ(offer(3, changed(kConfig, ":3", ":8")), 412);
+  EXPECT_EQ(state.find(kConfigKey)->value, changed(kConfig, ":3", ":7"));
+}
+
+}  // namespace
+}  // namespace pebblespindle::test
