--- a/src/agent/relay.cc
+++ b/src/agent/relay.cc
@@ -3,7 +3,6 @@
 #include "base/json_fields.h"
 
 namespace pebblespindle {
-using replication::field;
 
 void Relay::core_up() {
   core_ = true;
--- a/src/agent/state_cache.cc
+++ b/src/agent/state_cache.cc
@@ -7,8 +7,8 @@
 StateCache::Taken StateCache::take(const Json& m, std::string_view line) {
   Taken t;
   auto rows = decode_rows(m.value("r", Json()));
-  const std::uint64_t k = replication::number(m, "k"), left = replication::number(m, "left");
-  const bool whole = replication::field(m, "whole", false), alone = !m.contains("left");
+  const std::uint64_t k = pebblespindle::number(m, "k"), left = pebblespindle::number(m, "left");
+  const bool whole = field(m, "whole", false), alone = !m.contains("left");
   // Pieces count down to the last; one that is not the next belongs to another feed.
   const bool next =
       !next_left_ ? alone || left > 0 : !alone && left == *next_left_ && k == pieces_of_ && whole == whole_;
--- a/src/base/json_fields.h
+++ b/src/base/json_fields.h
@@ -2,7 +2,7 @@
 #pragma once
 #include "base/json_schema.h"
 
-namespace pebblespindle::replication {
+namespace pebblespindle {
 
 template <class T>
 T field(const Json& m, const char* name, T fallback) {
@@ -22,4 +22,4 @@
   return field<std::uint64_t>(m, name, 0);
 }
 
-}  // namespace pebblespindle::replication
+}  // namespace pebblespindle
--- a/src/base/types.h
+++ b/src/base/types.h
@@ -9,7 +9,9 @@
 
 namespace pebblespindle {
 
-using Millis = std::int64_t;  // steady time, handed in by whoever drives a state machine
+using Millis = std::int64_t;   // a duration
+using Instant = std::int64_t;  // milliseconds on the steady clock of this process, handed in by whoever
+                               // drives a state machine
 
 // Numbers the changes of the replicated state: each committed change has its own, and they rise by one.
 using SequenceNumber = std::uint64_t;
--- a/src/config/update_validation.cc
+++ b/src/config/update_validation.cc
@@ -6,11 +6,11 @@
 namespace pebblespindle {
 namespace {
 
-using replication::Verdict;
+using replication::ValidationResult;
 
 // PUT brings a whole; PATCH what is to change in the whole that is in place. A refusal is final, so it is
 // given only where no later state could answer otherwise: versions rise, and each has one successor.
-Verdict judge_config(const StateTable& state, const Json& u) {
+ValidationResult judge_config(const StateTable& state, const Json& u) {
   const std::string sent = u.value("body", "");
   const bool patch = u.value("op", "") == "patch";
   const std::uint64_t base = u.value("base", std::uint64_t(0));
@@ -19,34 +19,36 @@
   Configuration in_place;
   if (const Row* head = state.find(kConfigHeadKey)) enter_part(in_place, head->key, &head->value, {});
   const std::uint64_t current = in_place.revision;
-  const Verdict another{412, "the version in place is " + std::to_string(current), {}};
+  const ValidationResult another{Status::conflict("the version in place is " + std::to_string(current)), {}};
   if (base < current) {
     // One that was taken, and perhaps replaced since, is answered as taken: whoever offers it again has not
     // heard.
     const Fate fate = fate_of(state, patch, base, sent);
     if (fate == Fate::kTaken) return {};
     if (fate == Fate::kUnknown)
-      return {503, "version " + std::to_string(base) + " is no longer on record", {}};
+      return {Status::unavailable("version " + std::to_string(base) + " is no longer on record"), {}};
     return another;
   }
-  const Verdict on_its_way{503, another.reason, {}};  // what it builds on may be
+  const ValidationResult on_its_way{Status::unavailable(another.status.message()),
+                                    {}};  // what it builds on may be
   std::string body;
   if (patch) {
     auto wrong = base > current ? wrong_with_patch(sent) : std::string();
-    if (!wrong.empty()) return {400, wrong, {}};
+    if (!wrong.empty()) return {Status::invalid_argument(wrong), {}};
     if (base > current) return on_its_way;
     if (!now) return another;
     auto whole = patched(now->value, sent);
-    if (!whole) return {400, whole.status().message(), {}};
+    if (!whole) return {Status::invalid_argument(whole.status().message()), {}};
     body = std::move(*whole);
   }
   const std::string& whole = patch ? body : sent;
   auto next = read_configuration(whole);
-  if (!next) return {400, next.status().message(), {}};
-  if (next->revision <= base) return {400, "Revision is not above " + std::to_string(base), {}};
+  if (!next) return {Status::invalid_argument(next.status().message()), {}};
+  if (next->revision <= base)
+    return {Status::invalid_argument("Revision is not above " + std::to_string(base)), {}};
   if (base > current) return on_its_way;
   // Nodes are told what has changed, whatever the size of the whole.
-  Verdict v{200, {}, taken_rows(state, patch, base, next->revision, sent)};
+  ValidationResult v{Status::ok(), taken_rows(state, patch, base, next->revision, sent)};
   v.rows.push_back({kConfigKey, whole, 0, false});
   auto parts = configuration_parts(*next);
   for (auto& prefix : {kServicePrefix, kRoutePrefix, kTenantPrefix})
@@ -60,18 +62,18 @@
   return v;
 }
 
-Verdict judge_instance(const StateTable& state, const Json& u) {
+ValidationResult judge_instance(const StateTable& state, const Json& u) {
   InstanceId id{u.value("id", "")};
   const std::string text = u.value("v", "");
   auto next = Instance::from(id, text);
-  if (!next) return {400, "not an instance", {}};
+  if (!next) return {Status::invalid_argument("not an instance"), {}};
   const Row* now = state.find_including_deleted(instance_key(id));
   if (now && now->deleted) return {};  // it has left; a late call changes nothing
   if (now) {
     auto old = Instance::from(id, now->value);
     if (old && (next->calls <= old->calls || next->same_but_calls(*old))) return {};
   }
-  Verdict v{200, {}, {{instance_key(id), text, 0, false}}};
+  ValidationResult v{Status::ok(), {{instance_key(id), text, 0, false}}};
   // An address has one database at a time: whoever was there before has ended, and came back under a new
   // name.
   const std::string there = "\"" + next->address.text() + "\"";
@@ -87,21 +89,21 @@
   return v;
 }
 
-Verdict judge_leave(const StateTable& state, const Json& u) {
+ValidationResult judge_leave(const StateTable& state, const Json& u) {
   InstanceId id{u.value("id", "")};
   const Row* now = state.find_including_deleted(instance_key(id));
   if (!now || now->deleted) return {};
-  return {200, {}, {{instance_key(id), {}, 0, true}}};
+  return {Status::ok(), {{instance_key(id), {}, 0, true}}};
 }
 
-Verdict judge_lead(const StateTable& state, const Json& u) {
+ValidationResult judge_lead(const StateTable& state, const Json& u) {
   const std::string key = lead_key(u.value("s", ""));
   const std::string next = u.value("v", "");
   const Row* now = state.find(key);
   const std::string current = now ? now->value : std::string();
   if (current == next) return {};
-  if (current != u.value("x", "")) return {412, "the lead has changed", {}};
-  return {200, {}, {{key, next, 0, false}}};
+  if (current != u.value("x", "")) return {Status::conflict("the lead has changed"), {}};
+  return {Status::ok(), {{key, next, 0, false}}};
 }
 
 }  // namespace
@@ -146,14 +148,14 @@
   return lines;
 }
 
-Verdict judge_update(const StateTable& state, const Json& u) {
-  if (!u.is_object()) return {400, "not an update", {}};
+ValidationResult judge_update(const StateTable& state, const Json& u) {
+  if (!u.is_object()) return {Status::invalid_argument("not an update"), {}};
   const std::string op = u.value("op", "");
   if (op == "config" || op == "patch") return judge_config(state, u);
   if (op == "inst") return judge_instance(state, u);
   if (op == "leave") return judge_leave(state, u);
   if (op == "lead") return judge_lead(state, u);
-  return {400, "unknown update", {}};
+  return {Status::invalid_argument("unknown update"), {}};
 }
 
 }  // namespace pebblespindle
--- a/src/config/update_validation.h
+++ b/src/config/update_validation.h
@@ -1,7 +1,7 @@
 // What the head of the chain decides about an offered update: pure, a function of the state alone.
 #pragma once
 #include "config/records.h"
-#include "replication/replica.h"
+#include "replication/environment.h"
 
 namespace pebblespindle {
 
@@ -16,6 +16,6 @@
 // of bounded size that count together, with the last. From 0 it is a whole state, and says so.
 std::vector<std::string> feed_lines(std::uint64_t from, std::uint64_t to, const std::vector<Row>& rows);
 
-replication::Verdict judge_update(const StateTable& state, const Json& update);
+replication::ValidationResult judge_update(const StateTable& state, const Json& update);
 
 }  // namespace pebblespindle
--- a/src/controller/control_api.cc
+++ b/src/controller/control_api.cc
@@ -22,8 +22,9 @@
   const std::string kInstances = "/instances/";
   if (r.path == "/configuration" && (r.method == "PUT" || r.method == "PATCH")) return on_config(r, answer);
   if (r.path == "/configuration" && r.method == "GET") {
-    return node_->read(loop_.now(), kConfigKey, [answer](std::optional<std::string> body, bool ok) {
-      if (!ok) return answer(plain(503, "the chain gives no answer"));
+    return replica_->read(loop_.now(), kConfigKey, [answer](Result<std::optional<std::string>> read) {
+      if (!read) return answer(plain(503, "the chain gives no answer"));
+      const std::optional<std::string>& body = *read;
       if (!body) return answer(plain(404, "no configuration yet"));
       answer({200, *body, {}});
     });
@@ -33,9 +34,9 @@
     if (r.method == "PUT") return on_beat(id, r, answer);
     if (r.method == "DELETE") {
       if (!may_grant()) return answer(plain(503, "out of the view"));
-      return node_->submit(loop_.now(), leave_update({id}), [this, id, answer](replication::Answer a) {
-        if (a.status == 200) note("Database " + id + " has left.");
-        answer(a.status == 200 ? HttpReply{} : plain(503, a.reason));
+      return replica_->submit(loop_.now(), leave_update({id}), [this, id, answer](Status a) {
+        if (a.is_ok()) note("Database " + id + " has left.");
+        answer(a.is_ok() ? HttpReply{} : plain(503, a.message()));
       });
     }
   }
@@ -48,7 +49,7 @@
   if (!may_grant()) return "{}";
   // Later beats go to the core in the database's own zone: no bytes between zones.
   auto port = settings_.listeners.at("ControlPlane").port;
-  if (i.zone == settings_.zone && !node_->parting())
+  if (i.zone == settings_.zone && !replica_->is_leaving())
     return Json{{"HeartbeatEndpoint", settings_.listeners.at("ControlPlane").text()}}.dump();
   for (auto& [name, p] : peers_)
     if (p.zone == i.zone && p.conn && in_view(name))
@@ -61,24 +62,24 @@
   auto beat = read_beat(id, r.body);
   if (!beat) return done(plain(400, beat.status().message()));
   const Instance& i = *beat;
-  const Row* row = node_->state().find_including_deleted(instance_key(i.id));
+  const Row* row = replica_->state().find_including_deleted(instance_key(i.id));
   auto old = row && !row->deleted ? Instance::from(i.id, row->value) : std::nullopt;
   bool plain_renewal = row && (row->deleted || (old && old->same_but_calls(i)));
-  if (plain_renewal && node_->serves(loop_.now())) return done({200, beat_answer(i), {}});
+  if (plain_renewal && replica_->may_serve(loop_.now())) return done({200, beat_answer(i), {}});
   std::string news;
   if (!old)
     news = " joins at " + i.address.text() + (i.primary ? " as primary." : " as replica.");
   else if (i.draining && !old->draining)
     news = " is leaving.";
-  node_->submit(loop_.now(), instance_update(i), [this, i, done, news](replication::Answer a) {
-    if (a.status != 200) return done(plain(a.status == 0 ? 503 : a.status, a.reason));
+  replica_->submit(loop_.now(), instance_update(i), [this, i, done, news](Status a) {
+    if (!a.is_ok()) return done(plain(http_status(a), a.message()));
     if (!news.empty()) note("Database " + i.id.value + " of " + i.service + news);
     done({200, beat_answer(i), {}});
     if (i.primary) {
-      if (node_->leads(loop_.now()))
+      if (replica_->is_leader(loop_.now()))
         failover_->told(loop_.now(), i);
       else
-        send(node_->view().head(), {{"t", "told"}, {"id", i.id.value}, {"v", i.json().dump()}});
+        send(replica_->view().head(), {{"t", "told"}, {"id", i.id.value}, {"v", i.json().dump()}});
     }
   });
 }
@@ -86,17 +87,15 @@
 // A database that speaks to the proxy on its own machine: its word comes with the agent.
 void Controller::on_relayed_beat(const std::shared_ptr<Agent>& t, const Json& m) {
   const std::string id = m.value("id", ""), kind = m.value("t", "");
-  auto done = [this, t, id, kind, calls = m.value("calls", std::uint64_t(0))](replication::Answer a) {
-    if (a.status == 200 && kind == "leave") note("Database " + id + " has left.");
-    t->conn->send(
-        Json{{"t", "beaten"}, {"id", id}, {"calls", calls}, {"s", a.status == 0 ? 503 : a.status}}.dump() +
-        "\n");
+  auto done = [this, t, id, kind, calls = m.value("calls", std::uint64_t(0))](Status a) {
+    if (a.is_ok() && kind == "leave") note("Database " + id + " has left.");
+    t->conn->send(Json{{"t", "beaten"}, {"id", id}, {"calls", calls}, {"s", http_status(a)}}.dump() + "\n");
   };
-  if (!may_grant()) return done({503, "out of the view"});
-  if (kind == "leave") return node_->submit(loop_.now(), leave_update({id}), done);
+  if (!may_grant()) return done(Status::unavailable("out of the view"));
+  if (kind == "leave") return replica_->submit(loop_.now(), leave_update({id}), done);
   auto i = Instance::from({id}, m.value("v", ""));
-  if (!i) return done({400, "not an instance"});
-  node_->submit(loop_.now(), instance_update(*i), done);
+  if (!i) return done(Status::invalid_argument("not an instance"));
+  replica_->submit(loop_.now(), instance_update(*i), done);
 }
 
 }  // namespace pebblespindle
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -8,13 +8,13 @@
 #include "base/constants.h"
 #include "cli/command_registry.h"
 #include "config/update_validation.h"
-#include "replication/message_validation.h"
+#include "replication/codec.h"
 #include "settings/run_role.h"
 
 namespace pebblespindle {
 using namespace constants;
 
-replication::Verdict Controller::judge_update(const StateTable& state, const Json& update) {
+replication::ValidationResult Controller::judge_update(const StateTable& state, const Json& update) {
   return pebblespindle::judge_update(state, update);
 }
 
@@ -23,20 +23,20 @@
       disk_(std::move(disk)),
       node_leases_(loop_.now()),
       seated_at_(loop_.now()) {
-  replication::Node::Start start;
+  replication::ReplicaOptions start;
   start.host = settings_.ip;
   for (auto& s : settings_.seeds) start.seeds.push_back(s.host);
   start.bootstrap = settings_.bootstrap;
-  start.losses = std::size_t(settings_.machine_losses);
+  start.tolerated_losses = std::size_t(settings_.machine_losses);
   std::random_device random;
-  start.life = life_ = std::uint64_t(random()) << 32 | random();
+  start.incarnation = life_ = std::uint64_t(random()) << 32 | random();
   quota_allocator_ = std::make_unique<quota::QuotaAllocator>(settings_.ip + "/" + std::to_string(life_));
-  node_ = std::make_unique<replication::Node>(std::move(start), *disk_, *this, loop_.now());
+  replica_ = std::make_unique<replication::Replica>(std::move(start), *disk_, *this, loop_.now());
   failover::Failover::Out out;
-  out.holds = [this] { return node_->leads(loop_.now()); };
+  out.holds = [this] { return replica_->is_leader(loop_.now()); };
   out.token = [this] {
-    auto& v = node_->view();
-    return v.head() == node_->self() ? v.headed : 0;
+    auto& v = replica_->view();
+    return v.head() == replica_->self() ? v.term : 0;
   };
   out.ask = [this](const Instance& i, const std::string& s, std::function<void(failover::DbReply)> done) {
     db_.ask(i, s, [this, id = i.id, done = std::move(done)](failover::DbReply r) {
@@ -51,23 +51,23 @@
                   Json{{"TargetService", service}, {"InstanceId", id.value}}.dump(),
                   {{"Content-Type", "application/json"},
                    {"X-Pebblespindle-Duty-Holder", settings_.node_name},
-                   {"X-Pebblespindle-Fence-Token", std::to_string(node_->view().headed)}}};
+                   {"X-Pebblespindle-Fence-Token", std::to_string(replica_->view().term)}}};
     http_call(
         loop_.io(), *settings_.platform, r, kPlatformTimeoutMs,
         [this, done](HttpReply reply) {
           done(reply.status);
           loop_.rearm();
         },
-        [this] { return node_->leads(loop_.now()); });
+        [this] { return replica_->is_leader(loop_.now()); });
   };
-  out.submit = [this](Json u, std::function<void(replication::Answer)> done) {
-    node_->submit(loop_.now(), std::move(u), std::move(done));
+  out.submit = [this](Json u, std::function<void(Status)> done) {
+    replica_->submit(loop_.now(), std::move(u), std::move(done));
   };
   out.all_acknowledged = [this](std::uint64_t n) { return all_acknowledged(n); };
   out.members = [this] { return members(); };
   out.note = [this](const std::string& s) { note(s); };
-  db_.may_act = [this] { return node_->leads(loop_.now()); };
-  failover_ = std::make_unique<failover::Failover>(node_->state(), std::move(out));
+  db_.may_act = [this] { return replica_->is_leader(loop_.now()); };
+  failover_ = std::make_unique<failover::Failover>(replica_->state(), std::move(out));
 }
 
 void Controller::note(const std::string& sentence) {
@@ -106,7 +106,7 @@
     log_.say(s ? "Settings read again." : "Settings not taken: " + s.status().message());
     if (!s) return;
     settings_.platform = s->platform;
-    for (auto& seed : s->seeds) node_->meet(seed.host);
+    for (auto& seed : s->seeds) replica_->add_host(seed.host);
   });
   log_.say("Core " + settings_.node_name + " serves at " + at->second.text() + ".");
   loop_.every(kCoreBeatMs / 5, [this] { tick(); });
@@ -117,9 +117,9 @@
 // Hands over before it ends: its nodes turn to other cores while their leases run, and its vote goes to a
 // core that stands by, if there is one.
 void Controller::part() {
-  if (node_->parting()) return;
+  if (replica_->is_leaving()) return;
   Millis now = loop_.now();
-  node_->part(now);
+  replica_->begin_leaving(now);
   part_by_ = now + std::min(kHandOverMs, settings_.grace_ms / 2);
   const std::string away = Json{{"t", "away"}, {"l", core_list()}}.dump() + "\n";
   for (auto& [t, core] : agents_)
@@ -130,17 +130,17 @@
 
 void Controller::tick() {
   Millis now = loop_.now();
-  if (node_->parting() && !ending_ && (now >= part_by_ || node_->may_go(now))) {
+  if (replica_->is_leaving() && !ending_ && (now >= part_by_ || replica_->may_exit(now))) {
     ending_ = true;
     log_.say("Steps out.");
-    node_->step_out(now);
+    replica_->stop(now);
     loop_.timers().at(now + kReconnectMs / 2, [this] { loop_.stop(); });
   }
-  for (auto& host : node_->hosts()) {
+  for (auto& host : replica_->hosts()) {
     auto& p = peers_[host];
     if (!p.conn && !p.dialling && now >= p.dial_at) dial(host);
   }
-  node_->tick(now);
+  replica_->tick(now);
   if (may_grant()) {
     if (seated_at_ < last_tick_) feed_all();  // the seat is back: what was held back meanwhile
     seated_at_ = now;
@@ -149,10 +149,10 @@
   node_leases_.expire(now);
   std::erase_if(tight_, [now](auto& t) { return now >= t.second + kTightMs; });
   outlier_detector_.expire(now);
-  bool holds = node_->leads(now);
+  bool holds = replica_->is_leader(now);
   if (holds != held_duty_) {
     held_duty_ = holds;
-    log_.say(holds ? "Holds the failover duty with token " + std::to_string(node_->view().headed) + "."
+    log_.say(holds ? "Holds the failover duty with token " + std::to_string(replica_->view().term) + "."
                    : "No longer holds the failover duty.");
   }
   failover_->tick(now);
@@ -164,9 +164,9 @@
 // Allowances grow while this core has its place; the cores tell each other what they hold, and even it out.
 void Controller::update_quotas() {
   Millis now = loop_.now();
-  cluster_.follow(node_->state());
+  cluster_.follow(replica_->state());
   if (cluster_.config().tenants.empty()) return;
-  quota_allocator_->pass(now, cluster_.config().tenants, may_grant() ? node_->view().members.size() : 0);
+  quota_allocator_->pass(now, cluster_.config().tenants, may_grant() ? replica_->view().members.size() : 0);
   if (now >= sums_at_ + kQuotaSyncMs) {
     sums_at_ = now;
     if (Json sums = quota_allocator_->sums(); !sums.is_null())
@@ -209,9 +209,9 @@
                        if (peers_[host].conn == conn) peers_[host].conn = nullptr;
                      },
                      {}});
-        conn->send(Json{{"t", "core"}, {"name", node_->self()}, {"zone", settings_.zone}}.dump() + "\n");
+        conn->send(Json{{"t", "core"}, {"name", replica_->self()}, {"zone", settings_.zone}}.dump() + "\n");
         told_at_ = 0;
-        node_->linked();
+        replica_->on_link_established();
       });
 }
 
@@ -251,7 +251,7 @@
       const std::string name = m.value("name", ""), host = replication::host_of(name);
       if (host.empty()) return refuse(link);
       link->node = name;
-      node_->meet(host);
+      replica_->add_host(host);
       peers_[host].zone = m.value("zone", "");
       peers_[host].name = link->node;
       agents_[link] = true;
@@ -297,14 +297,15 @@
   } else if (t == "told") {
     if (auto i = Instance::from({m.value("id", "")}, m.value("v", ""))) failover_->told(now, *i);
   } else {
-    if (!replication::well_formed(m)) return false;
-    node_->receive(now, from, m);
+    auto message = replication::decode(m);
+    if (!message) return false;
+    replica_->receive(now, from, *message);
   }
   return true;
 }
 
 bool Controller::may_grant() const {
-  return node_->seated(loop_.now());
+  return replica_->holds_lease(loop_.now());
 }
 
 std::size_t Controller::members() const {
@@ -317,15 +318,16 @@
 
 bool Controller::in_view(const std::string& host) const {
   auto p = peers_.find(host);
-  return host == settings_.ip ? node_->view().has(node_->self())
-                              : p != peers_.end() && node_->view().has(p->second.name);
+  return host == settings_.ip ? replica_->view().has(replica_->self())
+                              : p != peers_.end() && replica_->view().has(p->second.name);
 }
 
 // The cores an agent may turn to; none when this core cannot know which are in the view today.
 Json Controller::core_list() const {
   Json l = Json::array();
-  if (!may_grant() && !node_->in_touch(loop_.now())) return l;
-  if (in_view(settings_.ip) && !node_->parting()) l.push_back(Json::array({settings_.ip, settings_.zone}));
+  if (!may_grant() && !replica_->hears_majority(loop_.now())) return l;
+  if (in_view(settings_.ip) && !replica_->is_leaving())
+    l.push_back(Json::array({settings_.ip, settings_.zone}));
   for (auto& [host, p] : peers_)
     if (!p.zone.empty() && p.conn && in_view(host)) l.push_back(Json::array({host, p.zone}));
   return l;
@@ -335,8 +337,9 @@
   Millis now = loop_.now();
   const std::string kind = m.value("t", "");
   if (kind == "who") {
-    t->conn->send(Json{{"t", "cores"}, {"l", core_list()}, {"ok", may_grant() && !node_->parting()}}.dump() +
-                  "\n");
+    t->conn->send(
+        Json{{"t", "cores"}, {"l", core_list()}, {"ok", may_grant() && !replica_->is_leaving()}}.dump() +
+        "\n");
   } else if (kind == "hi") {
     t->node = m.value("node", "");
     t->zone = m.value("zone", "");
@@ -360,7 +363,7 @@
       t->conn->send(Json{{"t", "grant"},
                          {"at", m.value("at", Json())},
                          {"ms", kNodeLeaseMs},
-                         {"k", node_->state().last_sequence()},
+                         {"k", replica_->state().last_sequence()},
                          {"n", members()},
                          {"life", life_},
                          {"c", now}}
@@ -408,9 +411,9 @@
 // What a node met at a database: to whoever holds the duty.
 void Controller::on_suspect(const Json& report) {
   Millis now = loop_.now();
-  if (!node_->leads(now)) {
-    const std::string head = node_->view().head();
-    if (head != node_->self()) send(head, report);
+  if (!replica_->is_leader(now)) {
+    const std::string head = replica_->view().head();
+    if (head != replica_->self()) send(head, report);
     return;
   }
   InstanceId id{report.value("id", "")};
@@ -427,7 +430,7 @@
 
 void Controller::feed(Agent& t) {
   if (!may_grant()) return;  // not even what has been begun: it goes on when the seat is back
-  t.delivery.go_on(node_->state(), node_->committed(), node_->serves(loop_.now()), news_,
+  t.delivery.go_on(replica_->state(), replica_->committed(), replica_->may_serve(loop_.now()), news_,
                    [&t](const std::string& line) { t.conn->send(line); });
 }
 
@@ -458,7 +461,7 @@
     if (!core) feed(*t);
 }
 
-void Controller::committed(std::uint64_t) {
+void Controller::on_committed() {
   feed_all();
   loop_.rearm();
 }
@@ -466,32 +469,32 @@
 // The other cores hear how many nodes hang here and what they all have acknowledged.
 void Controller::tell_peers(bool always) {
   Millis now = loop_.now();
-  std::uint64_t acked = node_leases_.acknowledged(now, node_->state().last_sequence());
+  std::uint64_t acked = node_leases_.acknowledged(now, replica_->state().last_sequence());
   std::size_t nodes = node_leases_.count(now);
-  cluster_.follow(node_->state());
+  cluster_.follow(replica_->state());
   bool holding =
       std::any_of(cluster_.leads().begin(), cluster_.leads().end(), [](auto& l) { return l.second.hold; });
   bool due = always || now >= told_at_ + kCoreSilentMs || nodes != told_nodes_ ||
-             told_view_ != node_->view().number || (holding && acked != told_acked_);
+             told_view_ != replica_->view().number || (holding && acked != told_acked_);
   if (!due) return;
   told_at_ = now;
   told_acked_ = acked;
   told_nodes_ = nodes;
-  told_view_ = node_->view().number;
+  told_view_ = replica_->view().number;
   for (auto& [name, p] : peers_) send(name, {{"t", "hm"}, {"n", nodes}, {"k", acked}, {"v", told_view_}});
 }
 
 bool Controller::all_acknowledged(std::uint64_t number) const {
   Millis now = loop_.now();
   // A core put out lately may have granted leases that still run.
-  if (now < node_->put_out_at() + kNodeLeaseMs + kDriftMarginMs) return false;
-  if (node_leases_.acknowledged(now, node_->state().last_sequence()) < number) return false;
-  for (auto& m : node_->view().members) {
-    if (m.name == node_->self()) continue;
-    auto p = peers_.find(replication::host_of(m.name));
-    if (p == peers_.end() || p->second.name != m.name || p->second.acked < number) return false;
+  if (now < replica_->member_removed_at() + kNodeLeaseMs + kDriftMarginMs) return false;
+  if (node_leases_.acknowledged(now, replica_->state().last_sequence()) < number) return false;
+  for (auto& m : replica_->view().members) {
+    if (m.id == replica_->self()) continue;
+    auto p = peers_.find(replication::host_of(m.id));
+    if (p == peers_.end() || p->second.name != m.id || p->second.acked < number) return false;
     // A number said in a former view may have stood for a change that was lost with its head.
-    if (p->second.view != node_->view().number) return false;
+    if (p->second.view != replica_->view().number) return false;
   }
   return true;
 }
@@ -534,15 +537,15 @@
     return done(plain(400, wrong));
   }
   // What is acknowledged must bear the losses asked for: the first one waits until the voters are complete.
-  if (!node_->state().find(kConfigKey) && !node_->full_strength() && loop_.now() < born_ + kGrowWaitMs)
+  if (!replica_->state().find(kConfigKey) && !replica_->has_all_voters() && loop_.now() < born_ + kGrowWaitMs)
     return done(plain(503, "the core is still growing"));
   const std::string what =
       patch ? "A change of " + std::to_string(base) : "Configuration " + std::to_string(revision);
-  node_->submit(
+  replica_->submit(
       loop_.now(), patch ? patch_update(base, r.body) : config_update(base, r.body),
-      [this, done, what](replication::Answer a) {
-        note(what + (a.status == 200 ? " is acknowledged." : " is not acknowledged: " + a.reason + "."));
-        done(a.status == 200 ? plain(200) : plain(a.status == 0 ? 503 : a.status, a.reason));
+      [this, done, what](Status a) {
+        note(what + (a.is_ok() ? " is acknowledged." : " is not acknowledged: " + a.message() + "."));
+        done(a.is_ok() ? plain(200) : plain(http_status(a), a.message()));
       });
 }
 
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,4 +1,4 @@
-// The core's process: joins chain, registry, node_leases and duty to sockets and the disk.
+// The core's process: joins chain, registry, replica_leases and duty to sockets and the disk.
 #pragma once
 #include <deque>
 #include <map>
@@ -15,24 +15,28 @@
 #include "net/http.h"
 #include "net/line_connection.h"
 #include "quota/quota_allocator.h"
+#include "replication/codec.h"
 #include "replication/replica.h"
 #include "storage/sqlite_store.h"
 #include "storage/store_recovery.h"
 
 namespace pebblespindle {
 
-class Controller : public replication::Outlet {
+class Controller : public replication::Environment {
  public:
   Controller(Settings settings, std::unique_ptr<SqliteStore> disk);
   int run();
 
-  // replication::Outlet
-  void send(const std::string& to, const Json& message) override;
-  replication::Verdict judge(const StateTable& state, const Json& update) override {
+  // replication::Environment
+  void send(const std::string& to, const replication::Message& message) override {
+    send(to, replication::encode(message));
+  }
+  replication::ValidationResult validate(const StateTable& state, const Json& update) override {
     return judge_update(state, update);
   }
-  void committed(std::uint64_t number) override;
-  void note(const std::string& sentence) override;  // an event: logged, and shown by status
+  void on_committed() override;
+  void log_event(const std::string& event) override { note(event); }
+  void note(const std::string& sentence);  // an event: logged, and shown by status
 
  private:
   struct Peer {  // another core: this side's connection to it
@@ -50,9 +54,10 @@
     std::string node, zone;
     Delivery delivery;
   };
-  static replication::Verdict judge_update(const StateTable& state, const Json& update);
+  static replication::ValidationResult judge_update(const StateTable& state, const Json& update);
 
   // links
+  void send(const std::string& to, const Json& message);
   void accept_inner(asio::ip::tcp::socket socket);
   void on_inner(const std::shared_ptr<Agent>& link, std::string_view line);
   bool on_core(const std::string& from, const Json& m);  // false: malformed
@@ -89,7 +94,7 @@
   Settings settings_;
   EventLoop loop_;
   std::unique_ptr<SqliteStore> disk_;
-  std::unique_ptr<replication::Node> node_;
+  std::unique_ptr<replication::Replica> replica_;
   std::unique_ptr<failover::Failover> failover_;
   DatabaseClient db_{loop_};
   NodeLeases node_leases_;
--- a/src/controller/status_report.cc
+++ b/src/controller/status_report.cc
@@ -6,18 +6,19 @@
 Json Controller::status(bool whole) const {
   Millis now = loop_.now();
   Json members = Json::array(), catching_up = Json::array();
-  for (auto& m : node_->view().members) {
-    members.push_back(m.name);
-    if (!(m.name == node_->self() ? node_->in_step() : node_->in_step(m.name))) catching_up.push_back(m.name);
+  for (auto& m : replica_->view().members) {
+    members.push_back(m.id);
+    if (!(m.id == replica_->self() ? replica_->in_sync() : replica_->is_peer_in_sync(m.id)))
+      catching_up.push_back(m.id);
   }
   // Sums first, and what is out of the ordinary by name: with hundreds of nodes the rest tells nothing.
   Json zones = Json::object(), behind = Json::array(), suspended = Json::array(), leaving = Json::array();
   for (auto& [name, e] : node_leases_.nodes()) {
     zones[e.zone] = zones.value(e.zone, 0) + 1;
-    if (e.acked < node_->committed()) behind.push_back(name);
+    if (e.acked < replica_->committed()) behind.push_back(name);
   }
   ClusterState cluster;
-  cluster.follow(node_->state());
+  cluster.follow(replica_->state());
   for (auto& [id, i] : cluster.instances())
     if (i.draining) leaving.push_back(id.value);
   for (auto& [service, l] : cluster.leads())
@@ -43,28 +44,29 @@
   for (auto& e : events_) events.push_back({{"ago_ms", now - e.at}, {"what", e.sentence}});
   Json revision;
   if (cluster.fed()) revision = cluster.config().revision;
-  return {
-      {"core", settings_.node_name},
-      {"zone", settings_.zone},
-      {"name", node_->self()},
-      {"view",
-       {{"number", node_->view().number},
-        {"chain", members},
-        {"voters", node_->view().voters},
-        {"catching_up", catching_up}}},
-      {"seated", node_->seated(now)},
-      {"disk", node_->sick() ? "refuses writes" : "well"},
-      {"change", {{"stored", node_->state().last_sequence()}, {"committed", node_->committed()}}},
-      {"configuration", revision},
-      {"duty",
-       {{"holder", node_->view().head()}, {"token", node_->view().headed}, {"held_here", node_->leads(now)}}},
-      {"nodes", nodes},
-      {"rights", whole ? rights : Json()},
-      {"services", services},
-      {"trouble",
-       {{"databases", outlier_detector_.databases(now)}, {"routes", outlier_detector_.routes(now)}}},
-      {"events", events},
-      {"databases", databases}};
+  return {{"core", settings_.node_name},
+          {"zone", settings_.zone},
+          {"name", replica_->self()},
+          {"view",
+           {{"number", replica_->view().number},
+            {"chain", members},
+            {"voters", replica_->view().voters},
+            {"catching_up", catching_up}}},
+          {"seated", replica_->holds_lease(now)},
+          {"disk", replica_->disk_failed() ? "refuses writes" : "well"},
+          {"change", {{"stored", replica_->state().last_sequence()}, {"committed", replica_->committed()}}},
+          {"configuration", revision},
+          {"duty",
+           {{"holder", replica_->view().head()},
+            {"token", replica_->view().term},
+            {"held_here", replica_->is_leader(now)}}},
+          {"nodes", nodes},
+          {"rights", whole ? rights : Json()},
+          {"services", services},
+          {"trouble",
+           {{"databases", outlier_detector_.databases(now)}, {"routes", outlier_detector_.routes(now)}}},
+          {"events", events},
+          {"databases", databases}};
 }
 
 }  // namespace pebblespindle
--- a/src/failover/failover.cc
+++ b/src/failover/failover.cc
@@ -262,7 +262,7 @@
   job.since = now;
   go(job, Step::kAsking);
   std::uint64_t round = job.round;
-  out_.submit(lead_update(service, row->value, next), [this, service, round](replication::Answer) {
+  out_.submit(lead_update(service, row->value, next), [this, service, round](Status) {
     auto& j = jobs_[service];
     if (j.step != Step::kAsking || j.round != round) return;
     auto current = lead(service);
@@ -326,7 +326,7 @@
   note_departing(service, job);
   for (auto& [id, r] : job.replies) {
     // Its address is another's by now: the database of that name is no more.
-    if (r.error.starts_with("WRONGNODE")) out_.submit(leave_update(id), [](replication::Answer) {});
+    if (r.error.starts_with("WRONGNODE")) out_.submit(leave_update(id), [](Status) {});
     if (r.kind != DbReply::Kind::kRow) continue;
     newest = std::max({newest, r.info.term, r.info.received.term, r.info.held});
     const std::uint64_t known = std::max(l->term, job.follow_term);
@@ -500,7 +500,7 @@
   std::uint64_t round = job.round;
   out_.note("Failover of " + service + ": " + id.value + " leads term " + std::to_string(term) + ".");
   out_.submit(lead_update(service, row->value, Lead{id, false, false, term, true}),
-              [this, service, round](replication::Answer) {
+              [this, service, round](Status) {
                 auto& j = jobs_[service];
                 if (j.round != round) return;
                 auto current = lead(service);
@@ -538,7 +538,7 @@
     Lead next = *l;
     next.release = false;
     r.retry_at = now + kSwitchRetryMs;
-    return out_.submit(lead_update(service, row->value, next), [](replication::Answer) {});
+    return out_.submit(lead_update(service, row->value, next), [](Status) {});
   }
   r.awaited = whom.size();
   r.retry_at = now + kSwitchRetryMs * Millis(std::min<std::size_t>(++r.tries, 5));
@@ -581,7 +581,7 @@
   Lead next = *l;
   next.hold = next.planned = false;
   next.release = true;
-  out_.submit(lead_update(service, row->value, next), [this, service, round](replication::Answer) {
+  out_.submit(lead_update(service, row->value, next), [this, service, round](Status) {
     auto& j = jobs_[service];
     if (j.round != round) return;
     auto current = lead(service);
--- a/src/failover/failover.h
+++ b/src/failover/failover.h
@@ -26,7 +26,7 @@
     std::function<void(const Instance&, const std::string& statement, std::function<void(DbReply)>)> ask;
     std::function<void(const std::string& service, const InstanceId&, std::function<void(int status)>)>
         promote;
-    std::function<void(Json update, std::function<void(replication::Answer)>)> submit;
+    std::function<void(Json update, std::function<void(Status)>)> submit;
     std::function<bool(std::uint64_t number)> all_acknowledged;  // by every node with a live lease
     std::function<std::size_t()> members;                        // nodes with a live lease
     std::function<void(const std::string&)> note;
--- a/src/net/http.cc
+++ b/src/net/http.cc
@@ -136,6 +136,21 @@
 
 }  // namespace
 
+int http_status(const Status& status) {
+  switch (status.code()) {
+    case StatusCode::kOk:
+      return 200;
+    case StatusCode::kInvalidArgument:
+      return 400;
+    case StatusCode::kNotFound:
+      return 404;
+    case StatusCode::kConflict:
+      return 412;
+    default:
+      return 503;
+  }
+}
+
 Result<std::unique_ptr<HttpServer>> HttpServer::listen(asio::io_context& io, const Endpoint& at,
                                                        HttpHandler h) {
   auto handler = std::make_shared<HttpHandler>(std::move(h));
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -21,6 +21,9 @@
   std::map<std::string, std::string> headers;
 };
 
+// The status code of an answer that tells how a call ended. No answer in time is told as "not now".
+int http_status(const Status& status);
+
 using HttpDone = std::function<void(HttpReply)>;
 using HttpHandler = std::function<void(HttpRequest, HttpDone)>;
 
--- a/src/pooler/control_feed.cc
+++ b/src/pooler/control_feed.cc
@@ -5,8 +5,6 @@
 
 namespace pebblespindle::pooler {
 using namespace constants;
-using replication::field;
-using replication::number;
 
 bool News::hear(Millis now, std::string_view line) {
   Json m = Json::parse(line, nullptr, false);
--- /dev/null
+++ b/src/replication/chain.cc
@@ -0,0 +1,97 @@
+#include "replication/chain.h"
+
+#include <algorithm>
+
+#include "replication/timing.h"
+
+namespace pebblespindle::replication {
+
+void Chain::on_reload() {
+  sent_to_successor_.reset();
+  // What the tail holds, all members before it hold as well.
+  const bool tail_in_sync = state_.is_tail() && state_.synced_view == state_.view.number;
+  committed_ = tail_in_sync ? state_.table.last_sequence() : 0;
+}
+
+void Chain::on_new_view(Instant now) {
+  sent_to_successor_.reset();
+  stalled_since_.reset();
+  last_progress_ = now;
+}
+
+void Chain::forward(Instant now) {
+  const ReplicaId successor = state_.view.successor(state_.self);
+  if (successor.empty()) return;
+  last_progress_ = now;
+  if (!sent_to_successor_) {
+    outbox_.send(successor, Decision{state_.view});  // first, so that the question is not met too early
+    outbox_.send(successor, StateQuery{state_.view.number});
+    return;
+  }
+  const SequenceNumber base = *sent_to_successor_;
+  set_sent_all();
+  outbox_.send(successor, sender_.append_after(base, state_.table.rows_after(base)));
+}
+
+bool Chain::follows(const Append& append) const {
+  const SequenceNumber held = state_.table.last_sequence();
+  const bool joining = state_.synced_view != state_.view.number;
+  if (append.base > held || !state_.history.agrees(append.base, append.base_term)) return false;
+  return !joining || append.base == held;
+}
+
+Status Chain::store(const Append& append) {
+  const SequenceNumber held = state_.table.last_sequence();
+  const bool joining = state_.synced_view != state_.view.number;
+  WriteBatch batch;
+  state_.drop_transfer(batch);
+  if (append.last_sequence > held) {
+    state_.history.begin(append.terms);
+    for (auto& row : append.rows)
+      if (row.sequence > held) batch.rows.push_back(row);
+    for (auto& row : batch.rows) state_.table.put(row);
+    state_.table.set_last_sequence(append.last_sequence);
+  }
+  const bool synced_now = state_.is_member() && joining;
+  if (state_.is_member()) state_.synced_view = state_.view.number;
+  const bool changed = append.last_sequence > held || synced_now || batch.clear_staged;
+  return changed ? state_.save(std::move(batch)) : Status::ok();
+}
+
+bool Chain::accepts(const ReplicaId& from, const Commit& commit) const {
+  return commit.view == state_.view.number && state_.view.successor(state_.self) == from && state_.in_sync();
+}
+
+bool Chain::commit(Instant now, SequenceNumber sequence) {
+  const SequenceNumber known = committed_;
+  committed_ = std::max(committed_, std::min(sequence, state_.table.last_sequence()));
+  last_progress_ = now;
+  const ReplicaId predecessor = state_.view.predecessor(state_.self);
+  if (!predecessor.empty()) outbox_.send(predecessor, Commit{state_.view.number, committed_});
+  return committed_ > known;
+}
+
+void Chain::on_successor_position(Instant now, SequenceNumber sequence) {
+  sent_to_successor_ = sequence;
+  if (sequence < state_.table.last_sequence()) forward(now);
+  stalled_since_.reset();
+}
+
+void Chain::observe_successor(Instant now, bool holds_lease) {
+  const bool waiting =
+      state_.in_sync() && !state_.is_tail() && committed_ < state_.table.last_sequence() && holds_lease;
+  if (!waiting)
+    stalled_since_.reset();
+  else if (!stalled_since_)
+    stalled_since_ = now;
+}
+
+void Chain::retry(Instant now, bool successor_in_sync) {
+  if (!state_.in_sync() || state_.is_tail()) return;
+  if (committed_ >= state_.table.last_sequence() && successor_in_sync) return;
+  if (now < last_progress_ + kSubmitRetryMs) return;
+  sent_to_successor_.reset();
+  forward(now);
+}
+
+}  // namespace pebblespindle::replication
--- /dev/null
+++ b/src/replication/local_state.cc
@@ -0,0 +1,88 @@
+#include "replication/local_state.h"
+
+#include <algorithm>
+
+#include "base/json_fields.h"
+#include "replication/codec.h"
+
+namespace pebblespindle::replication {
+namespace {
+
+// Keys of the metadata; data of this form is stored in installations.
+const char* const kDurableKey = "durable";
+const char* const kViewKey = "view";
+const char* const kLastSequenceKey = "stored";
+
+}  // namespace
+
+void LocalState::load() {
+  auto metadata = storage_.metadata();
+  const Json durable = Json::parse(metadata[kDurableKey], nullptr, false);
+  const auto stored_view = decode_view(Json::parse(metadata[kViewKey], nullptr, false));
+  view = stored_view.value_or(View());
+  promised = accepted = {};
+  accepted_view.reset();
+  synced_view = 0;
+  table.clear();
+  history = TermHistory();
+  transfer.reset();
+  staged.clear();
+  disk_failed_ = false;
+  if (!stored_view || !durable.is_object()) return;
+  self = field<std::string>(durable, "self", self);
+  promised = {number(durable, "pi"), number(durable, "pb")};
+  accepted = {number(durable, "ai"), number(durable, "ab")};
+  if (durable.contains("av")) accepted_view = decode_view(durable["av"]);
+  synced_view = number(durable, "synced");
+  for (auto& row : storage_.rows()) table.put(row);
+  const Json last_sequence = Json::parse(metadata[kLastSequenceKey], nullptr, false);
+  if (last_sequence.is_number_unsigned())
+    table.set_last_sequence(std::max<SequenceNumber>(table.last_sequence(), last_sequence));
+  table.compact(number(durable, "trimmed"));
+  // A state of a former version knows no terms: all that it holds counts as of the present head's.
+  if (auto terms = decode_terms(durable.value("terms", Json())))
+    history.begin(*terms);
+  else if (table.last_sequence() > 0)
+    history.begin(view.term, 1);
+  transfer = decode_progress(durable.value("stage", Json()));
+  if (!transfer) return;
+  for (auto& row : storage_.staged_rows()) staged.put(row);
+}
+
+Json LocalState::encode_durable() const {
+  Json durable{{"self", self},
+               {"pi", promised.view},
+               {"pb", promised.number},
+               {"ai", accepted.view},
+               {"ab", accepted.number},
+               {"synced", synced_view},
+               {"terms", encode_terms(history.starting_after(0))},
+               {"trimmed", table.compacted_to()}};
+  if (transfer) durable["stage"] = encode_progress(*transfer);
+  if (accepted_view) durable["av"] = encode_view(*accepted_view);
+  return durable;
+}
+
+Status LocalState::save(WriteBatch batch) {
+  batch.metadata[kDurableKey] = encode_durable().dump();
+  batch.metadata[kViewKey] = encode_view(view).dump();
+  batch.metadata[kLastSequenceKey] = std::to_string(table.last_sequence());
+  Status written = storage_.commit(batch);
+  if (written.is_ok()) return written;
+  disk_failed_ = true;
+  on_refused_();
+  return written;
+}
+
+Status LocalState::reopen() {
+  return storage_.reopen();
+}
+
+void LocalState::drop_transfer(WriteBatch& batch) {
+  if (!transfer) return;
+  transfer.reset();
+  staged.clear();
+  batch.clear_staged = true;
+}
+
+}  // namespace pebblespindle::replication
--- /dev/null
+++ b/src/replication/pending_requests.cc
@@ -0,0 +1,106 @@
+#include "replication/pending_requests.h"
+
+#include <utility>
+
+#include "replication/timing.h"
+
+namespace pebblespindle::replication {
+namespace {
+
+const char* const kNoAnswer = "no answer from the chain";
+
+template <class Request>
+std::vector<RequestId> timed_out(Instant now, const std::map<RequestId, Request>& requests) {
+  std::vector<RequestId> ids;
+  for (auto& [id, request] : requests)
+    if (now >= request.first_sent_at + kSubmitTimeoutMs) ids.push_back(id);
+  return ids;
+}
+
+}  // namespace
+
+void PendingRequests::submit(Instant now, const View& view, Json command, SubmitCallback done) {
+  const RequestId request = ++last_request_;
+  Submission& submission = submissions_[request];
+  submission.command = std::move(command);
+  submission.done = std::move(done);
+  submission.first_sent_at = now;
+  send(now, view, request, submission);
+}
+
+void PendingRequests::read(Instant now, const View& view, const std::string& key, ReadCallback done) {
+  const RequestId request = ++last_request_;
+  Read& read = reads_[request];
+  read.key = key;
+  read.done = std::move(done);
+  read.first_sent_at = now;
+  send(now, view, request, read);
+}
+
+void PendingRequests::send(Instant now, const View& view, RequestId request, Submission& submission) {
+  submission.sent_at = now;
+  const ReplicaId head = view.head();
+  if (head.empty()) return;
+  submission.asked = head;
+  ++submission.attempts;
+  // The submission may be answered, and gone, before this returns.
+  outbox_.send(head, SubmitRequest{request, view.number, submission.attempts, submission.command});
+}
+
+void PendingRequests::send(Instant now, const View& view, RequestId request, Read& read) {
+  read.sent_at = now;
+  read.asked = view.tail();
+  if (!read.asked.empty()) outbox_.send(view.tail(), ReadRequest{request, read.key});
+}
+
+void PendingRequests::on_reply(const ReplicaId& from, const View& view, const SubmitReply& reply) {
+  auto it = submissions_.find(reply.request);
+  if (it == submissions_.end()) return;
+  const Submission& submission = it->second;
+  const bool from_asked = from == submission.asked;
+  const bool counts = reply.status.is_ok() ? from_asked || view.has(from)
+                                           : from_asked && reply.attempt == submission.attempts;
+  if (counts) finish_submission(reply.request, reply.status);
+}
+
+void PendingRequests::on_reply(const ReplicaId& from, const ReadReply& reply) {
+  auto it = reads_.find(reply.request);
+  if (it != reads_.end() && it->second.asked == from) finish_read(reply.request, reply.value);
+}
+
+template <class Request>
+void PendingRequests::retry(Instant now, const View& view, std::map<RequestId, Request>& requests) {
+  std::vector<RequestId> due;
+  for (auto& [id, request] : requests)
+    if (now < request.first_sent_at + kSubmitTimeoutMs && now >= request.sent_at + kSubmitRetryMs)
+      due.push_back(id);
+  for (auto id : due)
+    if (auto it = requests.find(id); it != requests.end()) send(now, view, id, it->second);
+}
+
+void PendingRequests::tick(Instant now, const View& view) {
+  const auto ended_submissions = timed_out(now, submissions_);
+  retry(now, view, submissions_);
+  for (auto id : ended_submissions) finish_submission(id, Status::no_answer(kNoAnswer));
+  const auto ended_reads = timed_out(now, reads_);
+  retry(now, view, reads_);
+  for (auto id : ended_reads) finish_read(id, Status::no_answer(kNoAnswer));
+}
+
+void PendingRequests::finish_submission(RequestId request, Status status) {
+  auto it = submissions_.find(request);
+  if (it == submissions_.end()) return;
+  auto done = std::move(it->second.done);
+  submissions_.erase(it);
+  done(std::move(status));
+}
+
+void PendingRequests::finish_read(RequestId request, Result<std::optional<std::string>> value) {
+  auto it = reads_.find(request);
+  if (it == reads_.end()) return;
+  auto done = std::move(it->second.done);
+  reads_.erase(it);
+  done(std::move(value));
+}
+
+}  // namespace pebblespindle::replication
--- a/src/replication/replica.h
+++ b/src/replication/replica.h
@@ -1,248 +1,161 @@
-// One core's part in the chain and in the agreement on its view. No I/O: time, randomness, messages and
-// disk are handed in, so that tests run this very code on a simulated network.
+// One replica of the control state: chain replication among the members of a view, and the agreement on the
+// next view among its voters. No I/O: time, randomness, messages and storage are handed in, so that tests run
+// this very code on a simulated network.
+//
+// The parts, each with its own state, and what each promises, are in their own headers: LocalState (on the
+// disk), PeerTable (liveness), ViewLease, ViewPlanner, ViewChange, Chain, StateSender and StateReceiver
+// (state transfer), SubmissionQueue, PendingRequests. This class joins them: it hands each message to the
+// part that it is for, and carries out what follows for the others. All calls come from one event loop.
 #pragma once
-#include <functional>
-#include <map>
+#include <memory>
 #include <set>
 
-#include "base/constants.h"
-#include "replication/term_history.h"
-#include "replication/view.h"
-#include "storage/state_table.h"
-#include "storage/storage.h"
+#include "replication/chain.h"
+#include "replication/environment.h"
+#include "replication/pending_requests.h"
+#include "replication/state_receiver.h"
+#include "replication/submission_queue.h"
+#include "replication/view_change.h"
+#include "replication/view_lease.h"
+#include "replication/view_planner.h"
 
 namespace pebblespindle::replication {
 
-// What the head decides about an offered update.
-struct Verdict {
-  int status = 200;
-  std::string reason;
-  std::vector<Row> rows;  // without numbers; empty when nothing changes
-};
-
-struct Answer {
-  int status = 0;  // 0: no clear answer
-  std::string reason;
-};
+// Bytes of a state that go to another replica in one message: heartbeats and updates pass in between.
+constexpr std::size_t kStateChunkBytes = 65536;
 
-// What a node needs from the world around it.
-class Outlet {
- public:
-  virtual ~Outlet() = default;
-  virtual void send(const CoreName& to, const Json& message) = 0;
-  virtual Verdict judge(const StateTable& state, const Json& update) = 0;  // pure; run at the head
-  virtual void committed(std::uint64_t number) = 0;                        // committed() rose
-  virtual void note(const std::string& sentence) = 0;
+struct ReplicaOptions {
+  std::string host;
+  std::vector<std::string> seeds;  // hosts
+  bool bootstrap = false;          // the very first start of the whole system
+  std::size_t tolerated_losses = 1;
+  std::uint64_t incarnation = 0;  // drawn anew for each start of the process
+  std::size_t chunk_bytes = kStateChunkBytes;
 };
 
-class Node {
+class Replica : private Outbox {
  public:
-  struct Start {
-    std::string host;
-    std::vector<std::string> seeds;                         // hosts
-    bool bootstrap = false;                                 // the very first start of the whole system
-    std::size_t losses = 1;                                 // cores that may be lost at once
-    std::uint64_t life = 0;                                 // drawn anew for each start of the process
-    std::size_t piece_bytes = constants::kStatePieceBytes;  // of a state that goes to another core
-  };
-  Node(Start start, Storage& disk, Outlet& out, Millis now);
-
-  void tick(Millis now);
-  // A malformed message (chain/shape.h) changes nothing.
-  void receive(Millis now, const CoreName& from, const Json& message);
-  void submit(Millis now, Json update, std::function<void(Answer)> done);
-  void read(Millis now, const std::string& key,
-            std::function<void(std::optional<std::string>, bool ok)> done);
-  void meet(const std::string& host);  // another core, by whatever way it became known
-  // Wants to end: goes on as before, and asks the head to give its vote to a core that stands by.
-  void part(Millis now);
-  bool parting() const { return parting_; }
-  bool may_go(Millis now) const;  // it has handed over, or nobody is there to hand over to
+  // storage and environment outlive the replica.
+  Replica(const ReplicaOptions& options, Storage& storage, Environment& environment, Instant now);
+
+  // --- driven by the process
+  // --------------------------------------------------------------------------------
+  void tick(Instant now);  // several times a heartbeat
+  void receive(Instant now, const ReplicaId& from, const Message& message);
+  // A link to another replica has come up: it hears of this one at once.
+  void on_link_established();
+  void add_host(const std::string& host) { peers_.add_host(host); }
+
+  // --- for the callers of this process
+  // ---------------------------------------------------------------------- done is called once, perhaps
+  // before submit() returns.
+  void submit(Instant now, Json command, SubmitCallback done);
+  // The committed value of a key, read at the tail.
+  void read(Instant now, const std::string& key, ReadCallback done);
+
+  // --- graceful shutdown
+  // ------------------------------------------------------------------------------------ Wants to end: goes
+  // on as before, and asks for its vote to be given to a standby.
+  void begin_leaving(Instant now);
+  bool is_leaving() const { return leaving_; }
+  // It has handed over, or nobody is there to hand over to.
+  bool may_exit(Instant now) const;
   // Takes no further part: the process is about to end. The others need not wait for its leases.
-  void step_out(Millis now);
-  void linked();  // a link to another core has come up: it hears of this one at once
-  // What is gone and no longer of use is forgotten; acked: by all nodes with a lease here.
-  void trim(Millis now, std::uint64_t acked);
-
-  const View& view() const { return view_; }
-  const StateTable& state() const { return state_; }
-  std::uint64_t committed() const { return committed_; }
-  bool settled() const { return in_step() && committed_ == state_.last_sequence(); }
-  bool seated(Millis now, Millis guard = 0) const;  // holds its place by a majority's lease
-  bool leads(Millis now) const;                     // holds the duty of the head, and may act on it
-  // What the state holds may be handed out: all of it is committed, and no newer view can be at work.
-  bool serves(Millis now) const { return settled() && seated(now); }
-  // Hears from a majority of the voters that they stand at this very view: what it says of it is of today.
-  bool in_touch(Millis now) const;
-  bool in_step() const {
-    return !sick_ && !leaving_ && view_.number > 0 && synced_ == view_.number && view_.has(self_);
-  }
-  bool in_step(const CoreName& peer) const;
-  bool tail() const { return view_.tail() == self_; }
-  bool sick() const { return sick_; }  // the disk refuses writes
-  // As many voters as the losses to be borne ask for.
-  bool full_strength() const { return view_.voters.size() >= target_; }
-  std::set<std::string> hosts() const;  // all other cores worth a link
-  const CoreName& self() const { return self_; }
-  Millis heard(const CoreName& core) const;
-  // Whether a state is being taken from another core, and how many rows of it are here.
-  bool taking() const { return stage_.has_value(); }
-  std::size_t taken() const { return staged_.size(); }
-  Millis put_out_at() const { return put_out_at_; }  // when a member was last left out of the view
+  void stop(Instant now);
+
+  // Forgets tombstones that nobody asks for any more. acknowledged: by all nodes with a lease here.
+  void compact(Instant now, SequenceNumber acknowledged);
+
+  // --- what it knows
+  // ----------------------------------------------------------------------------------------
+  const ReplicaId& self() const { return state_.self; }
+  const View& view() const { return state_.view; }
+  const StateTable& state() const { return state_.table; }
+  SequenceNumber committed() const { return chain_.committed(); }
+  // A member that holds the state of the view, all of it committed.
+  bool all_committed() const { return chain_.all_committed(); }
+  // A majority of the voters has granted this member its place, for `guard` longer at least.
+  bool holds_lease(Instant now, Millis guard = 0) const { return lease_.is_held(now, guard); }
+  // The head, and may act as the only one.
+  bool is_leader(Instant now) const;
+  // What it holds may be handed out: all of it is committed, and no newer view can be at work.
+  bool may_serve(Instant now) const { return all_committed() && holds_lease(now); }
+  // A majority of the voters stands at this very view: what it says of the view is of today.
+  bool hears_majority(Instant now) const;
+  bool in_sync() const { return state_.in_sync(); }
+  bool is_peer_in_sync(const ReplicaId& peer) const { return planner_.is_peer_in_sync(peer); }
+  bool is_tail() const { return state_.is_tail(); }
+  bool disk_failed() const { return state_.disk_failed(); }
+  bool has_all_voters() const { return planner_.has_all_voters(); }
+  const std::set<std::string>& hosts() const { return peers_.hosts(); }  // of others, worth a link
+  bool is_receiving_state() const { return state_.transfer.has_value(); }
+  std::size_t received_rows() const { return state_.staged.size(); }  // of a state that is being received
+  // When a member was last left out of the view; the start of this process if none was.
+  Instant member_removed_at() const { return member_removed_at_; }
 
  private:
-  struct Pending {
-    Json update;
-    std::function<void(Answer)> done;
-    Millis first = 0, sent = 0;
-    CoreName asked = {};      // the head it was offered to last
-    std::uint64_t tries = 0;  // how often: a refusal counts for the last try only
-  };
-  struct PendingRead {
-    std::string key;
-    std::function<void(std::optional<std::string>, bool)> done;
-    Millis first = 0, sent = 0;
-    CoreName asked = {};  // the tail it was put to last
-  };
-  struct Origin {
-    std::uint64_t number = 0;
-    CoreName core;
-    std::uint64_t id = 0;
-    int status = 200;
-    std::string reason;
-    std::uint64_t tried = 0;  // the try that is answered
-  };
-  struct Ballot {
-    std::uint64_t instance = 0, ballot = 0;
-  };
-
-  bool still_grants(const CoreName& to) const;
-  bool may_vote() const { return !sick_ && !leaving_ && view_.votes(self_); }
-  bool save(Millis now, WriteBatch b = {});
-  void load();
-  void recover(Millis now);
-
-  // view agreement
-  void propose(Millis now);
-  bool lost(Millis now, const CoreName& core, Millis silence) const;
-  bool is_fed(Millis now, const CoreName& member) const;  // the one before it has the state, and is heard
-  bool departs(const CoreName& core) const;               // it has said that it wants to end
-  std::optional<View> wanted(Millis now) const;
-  void change_voters(Millis now, View& next, bool& changed) const;
-  void on_prepare(Millis now, const CoreName& from, const Json& m);
-  void on_promise(Millis now, const CoreName& from, const Json& m);
-  void on_accept(Millis now, const CoreName& from, const Json& m);
-  void on_accepted(Millis now, const CoreName& from, const Json& m);
-  void decide(Millis now, const View& v);
-  Json decision() const;
-  void spread(const Json& m);
-  void deliver(Millis now, const CoreName& to, const Json& m);
-
-  // chain
-  void beat(Millis now);
-  void give_back(Millis now);
-  void on_beat(Millis now, const CoreName& from, const Json& m);
-  void take_waiting(Millis now);
-  void head_takes(Millis now, const CoreName& origin, std::uint64_t id, std::uint64_t tried,
-                  const Json& update);
-  void take(Millis now, const CoreName& from, const Json& m);
-  void on_offer(Millis now, const CoreName& from, const Json& m);
-  void on_done(const CoreName& from, const Json& m);
-  void on_value(const CoreName& from, const Json& m);
-  void pass_on(Millis now);
-  Json rows_after(std::uint64_t base, const std::vector<Row>& rows) const;
-  void on_update(Millis now, const CoreName& from, const Json& m);
-  void in_step_now(Millis now);
-  void on_commit(Millis now, const CoreName& from, const Json& m);
-  void commit_up_to(Millis now, std::uint64_t number);
-
-  // catching up
-  struct Stage {           // of a state that is being taken, until it is whole
-    bool whole = false;    // it will replace what is held; else it adds to it
-    bool scanned = false;  // all keys have been walked; what has changed since is still to come, by number
-    std::string cursor;    // of the walk by key
-    StateTable::Position place;       // of the walk by number
-    std::uint64_t top = 0, term = 0;  // where the core stood that sent the last piece
-    Json json() const;
-    static std::optional<Stage> from(const Json& j);
-  };
-  CoreName source(Millis now) const;  // whom to take the state from; empty when there is nobody or no need
-  void ask_state(Millis now);
-  void on_have(Millis now, const CoreName& from, const Json& m);
-  void give_state(const CoreName& to, const Json& m);
-  void on_piece(Millis now, const CoreName& from, const Json& m);
-  void drop_stage(WriteBatch& b);
-  void answer_origins(Millis now);
-  void finish(std::uint64_t id, Answer a);
-  void offer(Millis now, std::uint64_t id, Pending& p);
-  void ask_tail(Millis now, std::uint64_t id, PendingRead& r);
-  void serve_read(Millis now, const CoreName& from, const Json& m);
-  void repeat_unanswered(Millis now);
-
-  CoreName self_;
-  std::size_t target_;  // voters wanted
-  std::size_t piece_bytes_;
-  Storage& disk_;
-  Outlet& out_;
-  Millis born_;
-  std::set<std::string> contacts_;  // hosts of other cores
-
-  // durable
-  View view_;
-  Ballot promised_;
-  Ballot accepted_;
-  std::optional<View> accepted_view_;
-  std::uint64_t synced_ = 0;  // the view whose state this core holds in full
-  StateTable state_;
-  History history_;
-  std::optional<Stage> stage_;
-  StateTable staged_;
-
-  // of this life only
-  std::optional<std::uint64_t> sent_;  // up to which the next member has been sent the rows; empty: not known
-  std::optional<Json> have_waiting_;   // the next member's word, until this core is in step
-  std::uint64_t asked_ = 0;            // the last question for the state, counted
-  Millis asked_at_ = -100000, source_since_ = 0;
-  std::size_t source_at_ = 0;  // a core outside the chain asks the tail, and others where that is silent
-  std::uint64_t learned_ = 0;  // the view as of which this core, outside it, holds the state
-  struct Mark {
-    Millis at = 0;
-    std::uint64_t number = 0;
-  };
-  std::vector<Mark> trims_;  // what was committed when
-  bool sick_ = false, leaving_ = false, parting_ = false;
-  Millis stepped_out_at_ = -1;  // leases asked for before this are given back
-  Millis try_disk_at_ = 0;
-  std::uint64_t committed_ = 0;
-  Millis voters_changed_at_, put_out_at_;
-  struct Peer {
-    Millis heard = -1, since = -1;  // last heard; heard without a gap since
-    std::uint64_t synced = 0, view = 0, learned = 0;
-    bool out = false;      // it has said that it takes no part
-    bool parting = false;  // it has said that it wants to end
-    Millis unseated_since = -1, out_of_step_since = -1;
-    Millis granted = -1, granted_at = -1;  // here, and by the clock of the one who asked
-    Millis withheld_until = -1, leased_from = -1;
-  };
-  std::map<CoreName, Peer> peers_;
-  std::map<std::string, CoreName> present_;  // by host: the identity heard last
-  Millis next_beat_ = 0, last_progress_ = 0, last_proposal_ = -100000, unseated_since_, stuck_since_ = -1;
-  std::uint64_t ballot_ = 0, proposing_ = 0;
-  View proposal_;
-  std::map<CoreName, Json> promises_;
-  std::set<CoreName> accepts_;
-  bool accepting_ = false;
-  std::vector<Origin> origins_;
-  struct Offer {
-    CoreName core;
-    std::uint64_t id = 0, tried = 0;
-    Json update;
-    Millis at = 0;
+  // Outbox
+  void send(const ReplicaId& to, const Message& message) override;
+  void send_to_others(const Message& message) override;
+
+  // Messages, by type.
+  void handle(const ReplicaId&, const IgnoredMessage&) {}
+  void handle(const ReplicaId& from, const Heartbeat& heartbeat);
+  void handle(const ReplicaId& from, const LeaseGrant& grant);
+  void handle(const ReplicaId& from, const Append& append);
+  void handle(const ReplicaId& from, const Commit& commit);
+  void handle(const ReplicaId& from, const StateQuery& query);
+  void handle(const ReplicaId& from, const StateRequest& request);
+  void handle(const ReplicaId& from, const StateChunk& chunk);
+  void handle(const ReplicaId& from, const SubmitRequest& request);
+  void handle(const ReplicaId& from, const SubmitReply& reply);
+  void handle(const ReplicaId& from, const ReadRequest& request);
+  void handle(const ReplicaId& from, const ReadReply& reply);
+  void handle(const ReplicaId& from, const Prepare& prepare);
+  void handle(const ReplicaId& from, const Promise& promise);
+  void handle(const ReplicaId& from, const Accept& accept);
+  void handle(const ReplicaId& from, const Accepted& accepted);
+  void handle(const ReplicaId& from, const Decision& decision);
+
+  void bootstrap(std::vector<std::string> seeds);
+  void load_state();
+  void retry_disk();
+  void on_disk_refused();
+  void give_back_leases();
+  void send_heartbeat();
+  void observe_lease();
+  void propose_next_view();
+  void adopt(const View& decided);
+  void log_view(const View& decided, const std::string& removed) const;
+  void on_in_sync();
+  void on_successor_in_sync(const ReplicaId& from, const StateRequest& request);
+  void commit_up_to(SequenceNumber sequence);
+  void answer_submissions();
+  void process_waiting_submissions();
+  void validate_offer(const SubmissionQueue::Offer& offer, WriteBatch& batch);
+
+  Environment& environment_;
+  Instant now_;  // of the call that is being carried out
+  bool leaving_ = false;
+  LocalState state_;
+  PeerTable peers_;
+  ViewLease lease_;
+  ViewPlanner planner_;
+  ViewChange view_change_;
+  SubmissionQueue submissions_;
+  StateSender sender_;
+  StateReceiver receiver_;
+  Chain chain_;
+  PendingRequests requests_;
+  std::optional<StateRequest> successor_request_;  // came before this member was in sync
+  Instant next_heartbeat_at_ = 0, next_disk_attempt_at_ = 0;
+  std::optional<Instant> without_lease_since_;
+  Instant member_removed_at_;
+  struct CommitPoint {
+    Instant at = 0;
+    SequenceNumber sequence = 0;
   };
-  std::vector<Offer> waiting_;  // at the head, until what is on its way has been committed
-  std::map<std::uint64_t, Pending> pending_;
-  std::map<std::uint64_t, PendingRead> reads_;
-  std::uint64_t last_id_ = 0;
+  std::vector<CommitPoint> commit_points_;  // what was committed when; for compaction
 };
 
 }  // namespace pebblespindle::replication
--- a/src/replication/term_history.cc
+++ b/src/replication/term_history.cc
@@ -1,38 +1,35 @@
 #include "replication/term_history.h"
 
-#include <algorithm>
+namespace pebblespindle::replication {
+namespace {
 
-#include "base/constants.h"
+// Terms. A replica that is more changes of the head behind than this takes the whole state.
+constexpr std::size_t kMaxTerms = 64;
 
-namespace pebblespindle::replication {
+}  // namespace
 
-std::uint64_t History::at(std::uint64_t number) const {
-  if (number == 0) return 0;
-  for (auto t = terms_.rbegin(); t != terms_.rend(); ++t)
-    if (t->from <= number) return t->term;
+TermNumber TermHistory::term_of(SequenceNumber sequence) const {
+  if (sequence == 0) return 0;
+  for (auto it = terms_.rbegin(); it != terms_.rend(); ++it)
+    if (it->first <= sequence) return it->term;
   return 0;
 }
 
-void History::begin(std::uint64_t term, std::uint64_t from) {
-  std::erase_if(terms_, [&](const Term& t) { return t.from >= from; });
-  terms_.push_back({term, from});
-  if (terms_.size() > constants::kTermsKept) terms_.erase(terms_.begin());
+void TermHistory::begin(TermNumber term, SequenceNumber first) {
+  std::erase_if(terms_, [&](const TermStart& start) { return start.first >= first; });
+  terms_.push_back({term, first});
+  if (terms_.size() > kMaxTerms) terms_.erase(terms_.begin());
 }
 
-Json History::above(std::uint64_t number) const {
-  Json a = Json::array();
-  for (auto& t : terms_)
-    if (t.from > number) a.push_back(Json::array({t.term, t.from}));
-  return a;
+void TermHistory::begin(const std::vector<TermStart>& terms) {
+  for (auto& start : terms) begin(start.term, start.first);
 }
 
-bool History::enter(const Json& terms) {
-  if (!terms.is_array()) return false;
-  for (auto& t : terms)
-    if (!t.is_array() || t.size() != 2 || !t[0].is_number_unsigned() || !t[1].is_number_unsigned())
-      return false;
-  for (auto& t : terms) begin(t[0], t[1]);
-  return true;
+std::vector<TermStart> TermHistory::starting_after(SequenceNumber sequence) const {
+  std::vector<TermStart> terms;
+  for (auto& start : terms_)
+    if (start.first > sequence) terms.push_back(start);
+  return terms;
 }
 
 }  // namespace pebblespindle::replication
--- a/src/replication/term_history.h
+++ b/src/replication/term_history.h
@@ -1,35 +1,34 @@
-// Which head numbered what: a number means a row only together with its term, the view since which the head
-// that gave it had been the head. Numbers of a lost head's suffix are given again; their terms differ.
+// Which head gave which sequence numbers. A sequence number means a change only together with its term:
+// numbers of a lost head's suffix are given again, and their terms differ.
 #pragma once
 #include <vector>
 
-#include "base/json_schema.h"
+#include "replication/types.h"
 
 namespace pebblespindle::replication {
 
-class History {
+struct TermStart {
+  TermNumber term = 0;
+  SequenceNumber first = 0;  // the first sequence number of the term
+  bool operator==(const TermStart&) const = default;
+};
+
+class TermHistory {
  public:
-  // The term of a number; 0 when it is not known (older than what is kept), and for number 0, which is
-  // nothing.
-  std::uint64_t at(std::uint64_t number) const;
-  // Two cores whose terms of a number agree hold the same rows up to it.
-  bool agrees(std::uint64_t number, std::uint64_t term) const {
-    return number == 0 ? term == 0 : term != 0 && at(number) == term;
+  // The term of a sequence number; 0 when it is not known (older than what is kept), and for number 0.
+  TermNumber term_of(SequenceNumber sequence) const;
+  // Two replicas whose terms of a sequence number agree hold the same rows up to it.
+  bool agrees(SequenceNumber sequence, TermNumber term) const {
+    return sequence == 0 ? term == 0 : term != 0 && term_of(sequence) == term;
   }
-  // Numbers from here on belong to a new term.
-  void begin(std::uint64_t term, std::uint64_t from);
-  // The terms that begin above a number, as they stand in messages and on the disk.
-  Json above(std::uint64_t number) const;
-  // Enters terms told by another core, or read from the disk. False, and nothing is changed, when they are
-  // none.
-  bool enter(const Json& terms);
-  bool empty() const { return terms_.empty(); }
+  // Sequence numbers from `first` on belong to a new term.
+  void begin(TermNumber term, SequenceNumber first);
+  void begin(const std::vector<TermStart>& terms);
+  // The terms that begin above a sequence number; all of them for 0.
+  std::vector<TermStart> starting_after(SequenceNumber sequence) const;
 
  private:
-  struct Term {
-    std::uint64_t term = 0, from = 0;
-  };
-  std::vector<Term> terms_;  // rising
+  std::vector<TermStart> terms_;  // rising
 };
 
 }  // namespace pebblespindle::replication
--- /dev/null
+++ b/src/replication/types.cc
@@ -0,0 +1,16 @@
+#include "replication/types.h"
+
+namespace pebblespindle::replication {
+
+ReplicaId new_identity(const std::string& host, std::uint64_t incarnation) {
+  static const char* const kHexDigits = "0123456789abcdef";
+  ReplicaId identity = host + '~';
+  for (int i = 0; i < 8; ++i) identity += kHexDigits[(incarnation >> (4 * i)) & 15];
+  return identity;
+}
+
+std::string host_of(const ReplicaId& replica) {
+  return replica.substr(0, replica.find('~'));
+}
+
+}  // namespace pebblespindle::replication
--- a/src/replication/view.cc
+++ b/src/replication/view.cc
@@ -4,83 +4,88 @@
 
 namespace pebblespindle::replication {
 
-std::string host_of(const CoreName& name) {
-  return name.substr(0, name.find('~'));
+const View::Member* View::find(const ReplicaId& id) const {
+  auto it = std::find_if(members.begin(), members.end(), [&](auto& member) { return member.id == id; });
+  return it == members.end() ? nullptr : &*it;
 }
 
-const View::Member* View::find(const CoreName& name) const {
-  for (auto& m : members)
-    if (m.name == name) return &m;
-  return nullptr;
+bool View::has_voter(const ReplicaId& id) const {
+  return std::find(voters.begin(), voters.end(), id) != voters.end();
 }
 
-bool View::votes(const CoreName& name) const {
-  return std::find(voters.begin(), voters.end(), name) != voters.end();
-}
-
-CoreName View::after(const CoreName& name) const {
+ReplicaId View::successor(const ReplicaId& id) const {
   for (std::size_t i = 0; i + 1 < members.size(); ++i)
-    if (members[i].name == name) return members[i + 1].name;
+    if (members[i].id == id) return members[i + 1].id;
   return {};
 }
 
-CoreName View::before(const CoreName& name) const {
+ReplicaId View::predecessor(const ReplicaId& id) const {
   for (std::size_t i = 1; i < members.size(); ++i)
-    if (members[i].name == name) return members[i - 1].name;
+    if (members[i].id == id) return members[i - 1].id;
   return {};
 }
 
 bool View::follows(const View& former) const {
   if (number != former.number + 1 || members.size() < former.majority()) return false;
-  if (headed != (head() == former.head() ? former.headed : number)) return false;
-  std::size_t at = 0;  // the members kept stand in their order, then those that join
-  for (auto& m : members) {
-    if (former.has(m.name)) {
-      while (at < former.members.size() && !(former.members[at] == m)) ++at;
-      if (at++ >= former.members.size()) return false;
+  if (term != (head() == former.head() ? former.term : number)) return false;
+  std::size_t next = 0;  // the members kept stand in their order, then those that join
+  for (auto& member : members) {
+    if (former.has(member.id)) {
+      while (next < former.members.size() && !(former.members[next] == member)) ++next;
+      if (next++ >= former.members.size()) return false;
     } else {
-      if (m.joined != number) return false;
-      at = former.members.size();
+      if (member.joined != number) return false;
+      next = former.members.size();
     }
   }
-  auto kept = std::size_t(
-      std::count_if(voters.begin(), voters.end(), [&](const CoreName& v) { return former.votes(v); }));
+  const auto kept = std::size_t(
+      std::count_if(voters.begin(), voters.end(), [&](auto& voter) { return former.has_voter(voter); }));
   return kept + 1 >= former.voters.size() && kept + 1 >= voters.size();
 }
 
-Json View::json() const {
-  Json m = Json::array();
-  for (auto& x : members) m.push_back(Json::array({x.name, x.joined}));
-  return Json{{"n", number}, {"h", headed}, {"m", m}, {"v", voters}};
+Json encode_view(const View& view) {
+  Json members = Json::array();
+  for (auto& member : view.members) members.push_back(Json::array({member.id, member.joined}));
+  return Json{{"n", view.number}, {"h", view.term}, {"m", members}, {"v", view.voters}};
+}
+
+namespace {
+
+bool is_consistent(const View& view) {
+  if (view.number == 0 || view.term > view.number || view.members.empty() || view.voters.empty())
+    return false;
+  for (auto& member : view.members)
+    if (member.id.empty() || member.joined > view.number || view.find(member.id) != &member) return false;
+  auto voters = view.voters;
+  std::sort(voters.begin(), voters.end());
+  return !voters.front().empty() && std::adjacent_find(voters.begin(), voters.end()) == voters.end();
 }
 
-std::optional<View> View::from(const Json& j) {
-  auto is_number = [&](const char* f) { return j.contains(f) && j[f].is_number_unsigned(); };
-  auto is_list = [&](const char* f) { return j.contains(f) && j[f].is_array(); };
-  if (!j.is_object() || !is_number("n") || !is_number("h") || !is_list("m") || !is_list("v"))
+}  // namespace
+
+std::optional<View> decode_view(const Json& encoded) {
+  const auto is_number = [&](const char* field) {
+    return encoded.contains(field) && encoded[field].is_number_unsigned();
+  };
+  const auto is_list = [&](const char* field) {
+    return encoded.contains(field) && encoded[field].is_array();
+  };
+  if (!encoded.is_object() || !is_number("n") || !is_number("h") || !is_list("m") || !is_list("v"))
     return std::nullopt;
-  View v;
-  v.number = j["n"];
-  v.headed = j["h"];
-  for (auto& e : j["m"]) {
-    if (!e.is_array() || e.size() != 2 || !e[0].is_string() || !e[1].is_number_unsigned())
+  View view;
+  view.number = encoded["n"];
+  view.term = encoded["h"];
+  for (auto& member : encoded["m"]) {
+    if (!member.is_array() || member.size() != 2 || !member[0].is_string() || !member[1].is_number_unsigned())
       return std::nullopt;
-    v.members.push_back({e[0], e[1]});
+    view.members.push_back({member[0], member[1]});
   }
-  for (auto& e : j["v"]) {
-    if (!e.is_string()) return std::nullopt;
-    v.voters.push_back(e);
+  for (auto& voter : encoded["v"]) {
+    if (!voter.is_string()) return std::nullopt;
+    view.voters.push_back(voter);
   }
-  if (v.number == 0 || v.headed > v.number || v.members.empty() || v.voters.empty()) return std::nullopt;
-  for (std::size_t i = 0; i < v.members.size(); ++i)
-    if (v.members[i].name.empty() || v.members[i].joined > v.number ||
-        v.find(v.members[i].name) != &v.members[i])
-      return std::nullopt;
-  auto names = v.voters;
-  std::sort(names.begin(), names.end());
-  if (names.front().empty() || std::adjacent_find(names.begin(), names.end()) != names.end())
-    return std::nullopt;
-  return v;
+  if (!is_consistent(view)) return std::nullopt;
+  return view;
 }
 
 }  // namespace pebblespindle::replication
--- /dev/null
+++ b/src/replication/view_lease.cc
@@ -0,0 +1,85 @@
+#include "replication/view_lease.h"
+
+#include <algorithm>
+
+#include "replication/timing.h"
+
+namespace pebblespindle::replication {
+
+// Once a next view may be decided that leaves it out, or that others will vote on, no lease of this voter is
+// given: not to oneself either.
+bool ViewLease::still_grants(const ReplicaId& member) const {
+  const bool undecided = state_.accepted_view && state_.accepted.view == state_.view.number + 1;
+  return !undecided ||
+         (state_.accepted_view->has(member) && state_.accepted_view->voters == state_.view.voters);
+}
+
+std::optional<LeaseGrant> ViewLease::grant(Instant now, const ReplicaId& from, const Heartbeat& heartbeat) {
+  Lease& lease = leases_[from];
+  if (heartbeat.not_participating) {
+    // Not a word of a former process that comes late.
+    if (!lease.heartbeat_sent_at || heartbeat.sent_at >= *lease.heartbeat_sent_at) lease.granted_at.reset();
+    return std::nullopt;
+  }
+  const View& view = state_.view;
+  if (heartbeat.view != view.number || !view.has(from) || !state_.may_vote()) return std::nullopt;
+  if (lease.withheld_until && now < *lease.withheld_until) return std::nullopt;
+  if (!still_grants(from)) return std::nullopt;
+  // A member without the view's state holds no lease: it can be left out at once and let in anew.
+  if (heartbeat.synced_view != view.number) return std::nullopt;
+  lease.granted_at = now;
+  lease.heartbeat_sent_at = heartbeat.sent_at;
+  return LeaseGrant{view.number, heartbeat.sent_at};
+}
+
+void ViewLease::on_grant(Instant now, const ReplicaId& from, const LeaseGrant& grant) {
+  if (grant.view != state_.view.number) return;
+  const Instant since = grant.heartbeat_sent_at;
+  if (since > now || (given_back_at_ && since <= *given_back_at_)) return;
+  Lease& lease = leases_[from];
+  lease.held_since = lease.held_since ? std::max(*lease.held_since, since) : since;
+}
+
+bool ViewLease::is_held(Instant now, Millis guard) const {
+  if (!state_.in_sync()) return false;
+  std::size_t voters = state_.view.has_voter(state_.self) && still_grants(state_.self) ? 1 : 0;
+  for (auto& [id, lease] : leases_) {
+    if (id == state_.self || !lease.held_since || !state_.view.has_voter(id)) continue;
+    if (now < *lease.held_since + kViewLeaseMs - kDriftMarginMs - guard) ++voters;
+  }
+  return voters >= state_.view.majority();
+}
+
+void ViewLease::give_back(Instant now) {
+  given_back_at_ = now;
+  for (auto& [id, lease] : leases_) lease.held_since.reset();
+}
+
+bool ViewLease::must_wait_for_end(Instant now, const View& next) {
+  for (auto& member : state_.view.members) {
+    if (next.has(member.id) || member.id == state_.self) continue;
+    Lease& lease = leases_[member.id];
+    Instant last = started_;
+    if (lease.granted_at) last = std::max(last, *lease.granted_at);
+    // Voters of former views may have granted it one; one that says in this view that it takes no part acts
+    // on none of theirs.
+    const Peer* peer = peers_.find(member.id);
+    const bool gave_back = peer && peer->not_participating && peer->view == state_.view.number;
+    if (!gave_back) last = std::max(last, voters_changed_at_);
+    if (now < last + kViewLeaseMs + kDriftMarginMs) {
+      lease.withheld_until = now + 2 * kViewLeaseMs;
+      return true;
+    }
+  }
+  return false;
+}
+
+void ViewLease::on_new_view(Instant now, bool voters_changed) {
+  if (voters_changed) voters_changed_at_ = now;
+  for (auto& [id, lease] : leases_) {
+    lease.held_since.reset();
+    lease.withheld_until.reset();
+  }
+}
+
+}  // namespace pebblespindle::replication
--- a/tests/config/config_delivery_test.cc
+++ b/tests/config/config_delivery_test.cc
@@ -11,6 +11,7 @@
 #include "base/constants.h"
 #include "config/cluster_state.h"
 #include "config/update_validation.h"
+#include "replication/encoded_messages.h"
 #include "replication/replica.h"
 #include "replication/simulated_network.h"
 #include "storage/memory_storage.h"
@@ -18,7 +19,7 @@
 namespace pebblespindle::test {
 namespace {
 
-using replication::Node;
+using replication::Replica;
 
 std::string body_of(std::uint64_t revision, std::uint64_t salt, int routes) {
   Json c{{"Revision", revision}, {"Routes", Json::array()}, {"Services", {{{"Name", "s"}}}}};
@@ -33,11 +34,11 @@
 
 struct Way;
 
-struct Core : replication::Outlet {
+struct Core : replication::Environment {
   Way& way;
   std::string host;
   MemoryStorage disk;
-  std::unique_ptr<Node> node;
+  std::unique_ptr<Replica> node;
   Delivery::News news;
   struct Link {
     std::uint64_t epoch = 0;
@@ -45,10 +46,12 @@
   };
   std::map<std::string, Link> links;  // by agent
   Core(Way& w, std::string h) : way(w), host(std::move(h)) {}
-  void send(const std::string& to, const Json& m) override;
-  replication::Verdict judge(const StateTable& l, const Json& u) override { return judge_update(l, u); }
-  void committed(std::uint64_t) override { feed(); }
-  void note(const std::string&) override {}
+  void send(const std::string& to, const replication::Message& m) override;
+  replication::ValidationResult validate(const StateTable& l, const Json& u) override {
+    return judge_update(l, u);
+  }
+  void on_committed() override { feed(); }
+  void log_event(const std::string&) override {}
   void feed();
 };
 
@@ -84,8 +87,8 @@
     auto& c = cores[host];
     if (!c) c = std::make_unique<Core>(*this, host);
     c->links.clear();
-    c->node = std::make_unique<Node>(
-        Node::Start{
+    c->node = std::make_unique<Replica>(
+        replication::ReplicaOptions{
             host, {"core0", "core1", "core2"}, bootstrap, 2, std::uint64_t(net.rng()) << 20 | net.rng()},
         c->disk, *c, net.now);
   }
@@ -101,7 +104,7 @@
       } else if (t == "got") {
         if (core.links.count(from) && core.links[from].epoch == m["e"]) core.links[from].delivery.got();
       } else {
-        return core.node->receive(net.now, from, m);
+        return receive_encoded(*core.node, net.now, from, m);
       }
       return core.feed();
     }
@@ -117,7 +120,7 @@
   void link(Machine& x) {
     auto& host = hosts[std::size_t(net.pick(int(hosts.size())))];
     auto& c = cores[host];
-    if (!c->node || !c->node->seated(net.now)) return;
+    if (!c->node || !c->node->holds_lease(net.now)) return;
     x.core = host;
     ++x.epoch;
     x.hold.relinked();
@@ -156,7 +159,7 @@
       for (auto& x : machines) {
         auto c = cores.find(x.core);
         bool lost = c == cores.end() || !c->second->node || !c->second->links.count(x.name);
-        if (net.now % 300 == 0 && (lost || !c->second->node->seated(net.now))) link(x);
+        if (net.now % 300 == 0 && (lost || !c->second->node->holds_lease(net.now))) link(x);
       }
       ASSERT_NO_FATAL_FAILURE(check());
     }
@@ -169,13 +172,13 @@
   std::set<std::uint64_t> refused;              // whose operator was told no
 };
 
-void Core::send(const std::string& to, const Json& m) {
-  way.net.send(node ? node->self() : host, replication::host_of(to), m);
+void Core::send(const std::string& to, const replication::Message& m) {
+  way.net.send(node ? node->self() : host, replication::host_of(to), replication::encode(m));
 }
 void Core::feed() {
   if (!node) return;
   for (auto& [name, l] : links)
-    l.delivery.go_on(node->state(), node->committed(), node->settled(), news,
+    l.delivery.go_on(node->state(), node->committed(), node->all_committed(), news,
                      [&, name = name, epoch = l.epoch](const std::string& line) {
                        way.net.send(host, name, {{"e", epoch}, {"line", line}});
                      });
@@ -199,10 +202,10 @@
     auto& c = w.cores[w.hosts[std::size_t(w.net.pick(5))]];
     o.next = w.net.now + 400 + w.net.pick(900);
     if (!c->node) return;
-    c->node->submit(w.net.now, config_update(o.base, w.bodies[o.revision]),
-                    [&o, rev = o.revision](replication::Answer a) {
-                      if (o.revision == rev && !o.done && a.status != 0) o.done = true, o.status = a.status;
-                    });
+    c->node->submit(w.net.now, config_update(o.base, w.bodies[o.revision]), [&o, rev = o.revision](Status a) {
+      if (o.revision == rev && !o.done && a.code() != StatusCode::kNoAnswer)
+        o.done = true, o.status = answer_code(a);
+    });
   };
   std::map<std::uint64_t, std::uint64_t> taken_on;  // by base: the change that was acknowledged
   for (int step = 0; step < 400; ++step) {
@@ -285,7 +288,7 @@
     auto v = judge_update(core, u);
     std::uint64_t n = core.last_sequence() + 1;
     for (auto& r : v.rows) r.sequence = n, core.put(r);
-    return v.status;
+    EXPECT_TRUE(v.status.is_ok());
   };
   Machine m{"m", "", 0, {}, {}, 0, true, 0};
   auto feed = [&] {
@@ -314,7 +317,7 @@
     auto v = judge_update(core, config_update(base, body_of(revision, revision, 2)));
     std::uint64_t n = core.last_sequence() + 1;
     for (auto& r : v.rows) r.sequence = n, core.put(r);
-    return v.status;
+    return answer_code(v.status);
   };
   EXPECT_EQ(offer(0, 1), 200);
   EXPECT_EQ(offer(1, 4), 200);
--- a/tests/config/records_test.cc
+++ b/tests/config/records_test.cc
@@ -2,6 +2,7 @@
 
 #include "config/cluster_state.h"
 #include "config/update_validation.h"
+#include "replication/encoded_messages.h"
 
 namespace pebblespindle::test {
 namespace {
@@ -61,7 +62,7 @@
     auto v = judge_update(state, u);
     std::uint64_t n = state.last_sequence() + 1;
     for (auto& r : v.rows) r.sequence = n, state.put(r);
-    return v.status;
+    return answer_code(v.status);
   };
   const std::string first = R"({"Revision":5,"Upsert":{"Routes":[{"Name":"c","Hostname":"h.example",
     "PathPrefix":"/z/","RouteType":"idempotent","TimeoutMs":10,"TargetService":"t"}]},"Remove":{"Routes":["a"]}})";
@@ -100,7 +101,7 @@
   auto offer = [&](std::uint64_t base, const std::string& body) {
     auto v = judge_update(state, config_update(base, body));
     for (auto& r : v.rows) r.sequence = state.last_sequence() + 1, state.put(r);
-    return v.status;
+    return answer_code(v.status);
   };
   EXPECT_EQ(offer(1, kConfig), 503) << "version 1 may be on its way";
   EXPECT_EQ(offer(0, kConfig), 200);
--- a/tests/config/update_cluster.h
+++ b/tests/config/update_cluster.h
@@ -8,14 +8,14 @@
 #include "base/constants.h"
 #include "config/applied_changes.h"
 #include "config/update_validation.h"
+#include "replication/encoded_messages.h"
 #include "replication/replica.h"
 #include "replication/simulated_network.h"
 #include "storage/memory_storage.h"
 
 namespace pebblespindle::test::orders {
 
-using replication::Answer;
-using replication::Node;
+using replication::Replica;
 using namespace constants;
 
 inline std::string whole(std::uint64_t revision, std::uint64_t salt, int routes = 1) {
@@ -63,16 +63,18 @@
 
 struct Port;
 
-struct OrderCore : replication::Outlet {
+struct OrderCore : replication::Environment {
   Port& port;
   std::string host;
   MemoryStorage disk;
-  std::unique_ptr<Node> node;
+  std::unique_ptr<Replica> node;
   OrderCore(Port& p, std::string h) : port(p), host(std::move(h)) {}
-  void send(const std::string& to, const Json& m) override;
-  replication::Verdict judge(const StateTable& l, const Json& u) override { return judge_update(l, u); }
-  void committed(std::uint64_t) override;
-  void note(const std::string&) override {}
+  void send(const std::string& to, const replication::Message& m) override;
+  replication::ValidationResult validate(const StateTable& l, const Json& u) override {
+    return judge_update(l, u);
+  }
+  void on_committed() override;
+  void log_event(const std::string&) override {}
 };
 
 // The cores, and all that was ever offered to them.
@@ -84,20 +86,21 @@
     for (int i = 0; i < n; ++i) hosts.push_back("core" + std::to_string(i));
     for (auto& h : hosts) start(h, true);
     net.deliver = [this](const std::string& to, const std::string& from, const Json& m) {
-      if (up(to)) cores[to]->node->receive(net.now, from, m);
+      if (up(to)) receive_encoded(*cores[to]->node, net.now, from, m);
     };
   }
   bool up(const std::string& host) { return cores[host]->node != nullptr; }
-  Node& at(const std::string& host) { return *cores[host]->node; }
+  Replica& at(const std::string& host) { return *cores[host]->node; }
   void start(const std::string& host, bool bootstrap = false) {
     auto& c = cores[host];
     if (!c) c = std::make_unique<OrderCore>(*this, host);
-    c->node = std::make_unique<Node>(Node::Start{host,
-                                                 {hosts.begin(), hosts.begin() + 3},
-                                                 bootstrap,
-                                                 losses,
-                                                 std::uint64_t(net.rng()) << 20 | net.rng()},
-                                     c->disk, *c, net.now);
+    c->node =
+        std::make_unique<Replica>(replication::ReplicaOptions{host,
+                                                              {hosts.begin(), hosts.begin() + 3},
+                                                              bootstrap,
+                                                              losses,
+                                                              std::uint64_t(net.rng()) << 20 | net.rng()},
+                                  c->disk, *c, net.now);
   }
   void kill(const std::string& host, bool wipe = false) {
     cores[host]->node.reset();
@@ -129,15 +132,15 @@
   // Each answer of a core is checked here, whether it reaches the operator or not.
   void offer(std::size_t id, const std::string& host, std::function<void(int)> heard = {}) {
     if (!up(host)) return;
-    at(host).submit(net.now, orders[id].update(), [this, id, heard = std::move(heard)](Answer a) {
+    at(host).submit(net.now, orders[id].update(), [this, id, heard = std::move(heard)](Status a) {
       check(id, a);
-      if (heard) heard(a.status);
+      if (heard) heard(answer_code(a));
     });
   }
-  void check(std::size_t id, const Answer& a) {
+  void check(std::size_t id, const Status& a) {
     auto& o = orders[id];
-    if (a.status == 0 || a.status == 503) return;
-    if (a.status == 200) {
+    if (a.code() == StatusCode::kNoAnswer || a.code() == StatusCode::kUnavailable) return;
+    if (a.is_ok()) {
       ASSERT_FALSE(o.refused) << "acknowledged after a refusal: " << tell(id);
       ASSERT_TRUE(o.sound && o.revision > o.base) << "what is invalid is acknowledged: " << tell(id);
       auto [it, first] = successor.emplace(o.base, id);
@@ -148,14 +151,15 @@
       fresh.push_back(id);
       return;
     }
-    ASSERT_TRUE(a.status == 412 || a.status == 400) << a.status;
+    ASSERT_TRUE(a.code() == StatusCode::kConflict || a.code() == StatusCode::kInvalidArgument)
+        << answer_code(a);
     ASSERT_FALSE(o.acknowledged || o.in_force)
-        << "refused although it was taken: " << tell(id) << ": " << a.reason;
+        << "refused although it was taken: " << tell(id) << ": " << a.message();
     const std::uint64_t current = history.empty() ? 0 : history.back().revision;
-    if (a.status == 412) {
+    if (a.code() == StatusCode::kConflict) {
       ASSERT_GT(current, o.base) << "a refusal that rests on nothing committed: " << tell(id);
     } else {
-      ASSERT_TRUE(!o.sound || o.revision <= o.base) << tell(id) << ": " << a.reason;
+      ASSERT_TRUE(!o.sound || o.revision <= o.base) << tell(id) << ": " << a.message();
     }
     o.refused = true;
   }
@@ -199,16 +203,16 @@
   std::uint64_t newest = 0;  // acknowledged
 };
 
-inline void OrderCore::send(const std::string& to, const Json& m) {
-  port.net.send(node ? node->self() : host, replication::host_of(to), m);
+inline void OrderCore::send(const std::string& to, const replication::Message& m) {
+  port.net.send(node ? node->self() : host, replication::host_of(to), replication::encode(m));
 }
-inline void OrderCore::committed(std::uint64_t) {
-  if (node && node->settled()) port.look(node->state());
+inline void OrderCore::on_committed() {
+  if (node && node->all_committed()) port.look(node->state());
 }
 
 inline std::string head_of(Port& p) {
   for (auto& h : p.hosts)
-    if (p.up(h) && p.at(h).leads(p.net.now)) return h;
+    if (p.up(h) && p.at(h).is_leader(p.net.now)) return h;
   return {};
 }
 
--- a/tests/config/update_simulation_test.cc
+++ b/tests/config/update_simulation_test.cc
@@ -127,12 +127,12 @@
         break;
     }
     bool calm = !healed_;
-    for (auto& h : p_.hosts) calm = calm && p_.up(h) && p_.at(h).in_step();
+    for (auto& h : p_.hosts) calm = calm && p_.up(h) && p_.at(h).in_sync();
     if (!calm) troubled_ = now;
   }
   bool settled() {
     std::size_t seated = 0;
-    for (auto& h : p_.hosts) seated += p_.at(h).seated(p_.net.now);
+    for (auto& h : p_.hosts) seated += p_.at(h).holds_lease(p_.net.now);
     return seated >= 2 * p_.losses + 1 && !head_of(p_).empty();
   }
   bool whole_for(Millis ms) const { return p_.net.now >= troubled_ + ms; }
--- a/tests/config/update_validation_test.cc
+++ b/tests/config/update_validation_test.cc
@@ -15,7 +15,7 @@
     auto v = judge_update(state, o.update());
     const std::uint64_t n = state.last_sequence() + 1;
     for (auto& r : v.rows) r.sequence = n, state.put(r);
-    return v.status;
+    return answer_code(v.status);
   }
   // Offered again: what it says, and that it changes nothing.
   int again(const Order& o) {
@@ -211,7 +211,7 @@
   p.offer(first, head);
   p.run(200);
   ASSERT_TRUE(p.orders[first].acknowledged);
-  const std::string next = p.at(head).view().after(p.at(head).self());
+  const std::string next = p.at(head).view().successor(p.at(head).self());
   auto before = p.draw(put(3, 5, 2)), x = p.draw(put(5, 8, 3)), y = p.draw(put(5, 9, 4)),
        same = p.draw(put(5, 10, 5));
   p.offer(before, head);  // under way, so that the two that follow are judged together
@@ -225,7 +225,8 @@
   p.net.cuts.insert({head, next});
   p.run(kSubmitRetryMs / 2);
   // Word of the commit before comes once more, and makes the head look through what it has to answer.
-  p.at(head).receive(p.net.now, next, {{"t", "com"}, {"n", p.at(head).view().number}, {"k", stored}});
+  receive_encoded(p.at(head), p.net.now, next,
+                  {{"t", "com"}, {"n", p.at(head).view().number}, {"k", stored}});
   p.run(kSubmitRetryMs / 2);
   ASSERT_GT(p.at(head).state().last_sequence(), stored) << "the two were judged";
   ASSERT_EQ(newest_taken(p.at(head).state())->revision, 8u);
@@ -281,7 +282,7 @@
   const std::string head = head_of(p);
   p.offer(p.draw(put(0, 3, 1)), head);
   p.run(1000);
-  ASSERT_TRUE(p.at(head).settled() && p.history.size() == 1) << "it has nothing to wait for";
+  ASSERT_TRUE(p.at(head).all_committed() && p.history.size() == 1) << "it has nothing to wait for";
   for (auto& h : p.hosts)
     if (h != head) p.net.cuts.insert({h, head}), p.net.cuts.insert({head, h});
   std::vector<std::size_t> asked{p.draw(put(0, 9, 2)), p.draw(put(3, 8, 3)), p.draw(patch(3, 7, 4)),
--- a/tests/failover/failover_cluster.h
+++ b/tests/failover/failover_cluster.h
@@ -44,9 +44,9 @@
   void tell(int i, bool primary) {
     std::string name = "db" + std::to_string(i);
     dbs[name].primary = primary;
-    submit(instance_update(instance(name)));
+    apply(instance_update(instance(name)));
   }
-  int submit(const Json& u) {
+  Status submit(const Json& u) {
     auto v = judge_update(state, u);
     std::uint64_t n = state.last_sequence() + 1;
     for (auto& r : v.rows) {
@@ -55,6 +55,7 @@
     }
     return v.status;
   }
+  void apply(const Json& u) { EXPECT_TRUE(submit(u).is_ok()); }
   void later(Millis ms, std::function<void()> fn) { events.emplace(now + ms, std::move(fn)); }
   bool chance(double p) { return std::uniform_real_distribution<>(0, 1)(rng) < p; }
 
@@ -116,10 +117,10 @@
       later(300 + platform_lag, [this, id] { take_over(id.value); });
       answer(silent ? constants::kPlatformTimeoutMs : 5, silent ? 0 : 200);
     };
-    out.submit = [this, g](Json u, std::function<void(replication::Answer)> done) {
+    out.submit = [this, g](Json u, std::function<void(Status)> done) {
       later(10, [this, g, u, done] {
-        int status = submit(u);
-        if (g == generation) done({status, {}});
+        Status status = submit(u);
+        if (g == generation) done(std::move(status));
       });
     };
     out.all_acknowledged = [this](std::uint64_t) { return asked_of_hold = true; };
@@ -152,7 +153,7 @@
     d.held = 0;
     d.term = newest + 1;
     d.received = {d.term, d.received.number};
-    later(50, [this, name] { submit(instance_update(instance(name))), failover->told(now, instance(name)); });
+    later(50, [this, name] { apply(instance_update(instance(name))), failover->told(now, instance(name)); });
   }
 
   void write() {  // a client's commit at whoever believes to lead
--- a/tests/pooler/fleet_test.cc
+++ b/tests/pooler/fleet_test.cc
@@ -32,7 +32,7 @@
   StateTable state;
   void offer(const Json& update) {
     auto v = judge_update(state, update);
-    ASSERT_EQ(v.status, 200);
+    ASSERT_TRUE(v.status.is_ok());
     std::uint64_t n = state.last_sequence() + 1;
     for (auto& r : v.rows) r.sequence = n, state.put(r);
   }
--- a/tests/pooler/lease_test.cc
+++ b/tests/pooler/lease_test.cc
@@ -9,7 +9,7 @@
 TEST(Lease, ACoreThatHasAcceptedItsOwnRemovalActsOnNoLease) {
   Fleet f(21);
   f.run(1500);
-  ASSERT_TRUE(f.at("core0").leads(f.net.now));
+  ASSERT_TRUE(f.at("core0").is_leader(f.net.now));
   auto deliver = f.net.deliver;
   f.net.deliver = [&](const std::string& to, const std::string& from, const Json& m) {
     const std::string t = m.value("t", "");
@@ -18,7 +18,7 @@
     deliver(to, from, m);
   };
   f.run(4000);  // at every moment at most one core leads: checked in run()
-  EXPECT_TRUE(f.at("core1").leads(f.net.now));
+  EXPECT_TRUE(f.at("core1").is_leader(f.net.now));
 }
 
 }  // namespace
--- a/tests/pooler/session_cluster.cc
+++ b/tests/pooler/session_cluster.cc
@@ -73,7 +73,7 @@
 
 void SessionsWorld::feed(const Json& update) {
   auto v = judge_update(core_, update);
-  ASSERT_EQ(v.status, 200);
+  ASSERT_TRUE(v.status.is_ok());
   std::uint64_t n = core_.last_sequence() + 1;
   for (auto& r : v.rows) r.sequence = n, core_.put(r);
   if (engine_) feed_hold();
--- a/tests/quota/quota_test.cc
+++ b/tests/quota/quota_test.cc
@@ -53,13 +53,13 @@
   Millis now = 0;
   std::multimap<Millis, std::function<void()>> events;
   std::vector<std::unique_ptr<QuotaAllocator>> cores;
-  struct Node {
+  struct Replica {
     std::unique_ptr<QuotaClient> quota_client;
     std::string name;
     Holder core;
     int life = 0;
   };
-  std::vector<Node> nodes;
+  std::vector<Replica> nodes;
   bool chance(double p) { return std::uniform_real_distribution<>(0, 1)(rng) < p; }
   int pick(int n) { return int(rng() % std::uint32_t(n)); }
   // A message: late, sometimes lost, sometimes twice.
--- a/tests/replication/faulty_cluster.h
+++ b/tests/replication/faulty_cluster.h
@@ -7,7 +7,7 @@
 
 #include "agent/state_cache.h"
 #include "config/config_delivery.h"
-#include "replication/message_validation.h"
+#include "replication/encoded_messages.h"
 #include "replication/replica_cluster.h"
 
 namespace pebblespindle::test {
@@ -58,7 +58,8 @@
       }
       if (m["t"] != "b") stirred = true;  // a beat seats nobody at the one that hears it
       auto c = cores.find(to);
-      if (c != cores.end() && c->second && c->second->node) c->second->node->receive(net.now, from, m);
+      if (c != cores.end() && c->second && c->second->node)
+        receive_encoded(*c->second->node, net.now, from, m);
     };
   }
   std::string any() { return hosts[std::size_t(net.pick(int(hosts.size())))]; }
@@ -67,34 +68,34 @@
   // What a core does for a machine that hangs at it (Controller::on_agent).
   void serve(const std::string& host, Hanger& x, const Json& m) {
     if (!up(host)) return;
-    Node& node = at(host);
+    Replica& node = at(host);
     Delivery& d = links[host][x.name];
     if (m["t"] == "hi") d = {}, d.greet(m["have"]);
     if (m["t"] == "got") d.got();
     if (m["t"] == "renew") {
-      bool grant = node.seated(now());
+      bool grant = node.holds_lease(now());
       if (grant) shows_all(node, "a lease");
-      if (node.in_touch(now())) tells_of_today(node);
+      if (node.hears_majority(now())) tells_of_today(node);
       net.send(host, x.name, {{"t", grant ? "grant" : "away"}});
     }
     feed(host, x.name, d);
   }
   void feed(const std::string& host, const std::string& to, Delivery& d) {
-    Node& node = at(host);
-    if (!node.seated(now())) return;
-    d.go_on(node.state(), node.committed(), node.serves(now()), news[host], [&](const std::string& line) {
+    Replica& node = at(host);
+    if (!node.holds_lease(now())) return;
+    d.go_on(node.state(), node.committed(), node.may_serve(now()), news[host], [&](const std::string& line) {
       shows_all(node, "a feed");
       net.send(host, to, {{"t", "line"}, {"l", line}});
     });
   }
   // Whatever is handed out holds all that was acknowledged to anyone before.
-  void shows_all(Node& node, const char* what) {
+  void shows_all(Replica& node, const char* what) {
     for (auto& w : writers)
       ASSERT_GE(value_of(node.state().find(w.key)), w.acked)
           << node.self() << " hands out " << what << " that lacks an acknowledged change of " << w.key;
   }
   // A redirect rests on a view that is the newest, or was within the last second.
-  void tells_of_today(Node& node) {
+  void tells_of_today(Replica& node) {
     auto next = decided.upper_bound(node.view().number);
     if (next != decided.end()) {
       ASSERT_LE(now() - next->second, kCoreSilentMs + 500) << node.self() << " redirects by an old view";
@@ -127,26 +128,26 @@
     Millis asked = now();
     std::string expect = w.acked ? std::to_string(w.acked) : "";
     at(host).submit(asked, {{"key", w.key}, {"expect", expect}, {"value", std::to_string(w.value)}},
-                    [this, &w, asked, value = w.value](Answer a) {
+                    [this, &w, asked, value = w.value](Status a) {
                       EXPECT_LE(now() - asked, kSubmitGiveUpMs + 20) << "no answer in time";
-                      if (a.status == 0) return;
+                      if (a.code() == StatusCode::kNoAnswer) return;
                       ++answered;
-                      ASSERT_TRUE(a.status == 200 || w.acked >= value)
+                      ASSERT_TRUE(a.is_ok() || w.acked >= value)
                           << w.key << "=" << value << " is refused, with " << w.acked << " in place";
-                      if (a.status == 200 && value == w.value) w.acked = value, w.done = true;
+                      if (a.is_ok() && value == w.value) w.acked = value, w.done = true;
                     });
   }
   void ask(Writer& w) {
     std::string host = any();
     if (!up(host)) return;
-    at(host).read(now(), w.key, [&w, floor = w.floor()](std::optional<std::string> v, bool ok) {
-      if (!ok) return;
-      int got = v ? std::stoi(*v) : 0;
+    at(host).read(now(), w.key, [&w, floor = w.floor()](const Result<std::optional<std::string>>& value) {
+      if (!value) return;
+      int got = *value ? std::stoi(**value) : 0;
       ASSERT_GE(got, floor) << "an older state of " << w.key << " comes back";
       w.read = std::max(w.read, got);
     });
     // A beat that says nothing new is answered on the spot.
-    if (at(host).serves(now())) shows_all(at(host), "an answer");
+    if (at(host).may_serve(now())) shows_all(at(host), "an answer");
   }
 
   // Two race for a key, each with changes of its own: one that was refused is never in force.
@@ -155,9 +156,9 @@
     if (!up(host)) return;
     int to = ++raced;
     at(host).submit(now(), {{"key", "race"}, {"expect", race_base()}, {"value", std::to_string(to)}},
-                    [this, to](Answer a) {
-                      if (a.status == 412) refused.insert(to);
-                      if (a.status == 200) taken.insert(to);
+                    [this, to](Status a) {
+                      if (a.code() == StatusCode::kConflict) refused.insert(to);
+                      if (a.is_ok()) taken.insert(to);
                     });
   }
   // What a racer builds on: what is in place, or what another has just sent and hopes for.
@@ -196,17 +197,17 @@
     int heads = 0, tails = 0;
     for (auto& host : hosts) {
       if (!up(host)) continue;
-      Node& node = at(host);
-      if (node.leads(now())) {
+      Replica& node = at(host);
+      if (node.is_leader(now())) {
         ++heads;
         if (node.self() != holder) {
-          ASSERT_GT(node.view().headed, top) << "a new holder without a higher token";
+          ASSERT_GT(node.view().term, top) << "a new holder without a higher token";
         }
         holder = node.self();
-        top = node.view().headed;
+        top = node.view().term;
       }
-      tails += node.tail() && node.seated(now());
-      if (node.settled() && node.committed() > checked[host]) {
+      tails += node.is_tail() && node.holds_lease(now());
+      if (node.all_committed() && node.committed() > checked[host]) {
         checked[host] = node.committed();
         const Row* r = node.state().find("race");
         ASSERT_FALSE(r && refused.count(value_of(r))) << "what was refused is in force: " << r->value;
@@ -215,8 +216,8 @@
     ASSERT_LE(heads, 1) << "two cores act as the head";
     ASSERT_LE(tails, 1) << "two cores answer reads";
   }
-  Node& newest() {
-    Node* newest = nullptr;
+  Replica& newest() {
+    Replica* newest = nullptr;
     for (auto& host : hosts)
       if (up(host) && (!newest || at(host).view().number > newest->view().number)) newest = &at(host);
     return *newest;
@@ -231,8 +232,8 @@
       EXPECT_TRUE(v.has(name)) << name << " votes and is no member";
     }
     for (auto& m : v.members) {
-      Node& node = at(replication::host_of(m.name));
-      EXPECT_TRUE(node.self() == m.name && node.in_step()) << m.name << " is not in step at " << now();
+      Replica& node = at(replication::host_of(m.id));
+      EXPECT_TRUE(node.self() == m.id && node.in_sync()) << m.id << " is not in step at " << now();
       shows_all(node, "a place");
     }
   }
--- a/tests/replication/golden_messages_test.cc
+++ b/tests/replication/golden_messages_test.cc
@@ -6,15 +6,16 @@
 #include <fstream>
 
 #include "config/update_validation.h"
-#include "replication/message_validation.h"
+#include "replication/encoded_messages.h"
 #include "replication/replica.h"
 #include "replication/simulated_network.h"
+#include "replication/timing.h"
 #include "storage/memory_storage.h"
 
 namespace pebblespindle::test {
 namespace {
 
-using replication::Node;
+using replication::Replica;
 
 const char* const kHead = "10.1.0.4";
 const char* const kMiddle = "10.2.0.4";
@@ -26,14 +27,15 @@
 class Scenario {
  public:
   Scenario() {
-    for (auto* host : {kHead, kMiddle, kTail}) start(host, true, constants::kStatePieceBytes);
+    for (auto* host : {kHead, kMiddle, kTail}) start(host, true, replication::kStateChunkBytes);
   }
 
   void start(const std::string& host, bool bootstrap = false, std::size_t piece_bytes = kSmallPieceBytes) {
     auto& core = cores_[host];
     if (!core) core = std::make_unique<Core>(*this);
-    Node::Start settings{host, {kHead, kMiddle, kTail}, bootstrap, 1, life_ += 0x1000003, piece_bytes};
-    core->node = std::make_unique<Node>(settings, core->disk, *core, now_);
+    replication::ReplicaOptions settings{host, {kHead, kMiddle, kTail}, bootstrap,
+                                         1,    life_ += 0x1000003,      piece_bytes};
+    core->node = std::make_unique<Replica>(settings, core->disk, *core, now_);
   }
   void stop(const std::string& host) {
     cores_[host]->node.reset();
@@ -54,14 +56,15 @@
   }
   int submit(const std::string& host, const Json& update) {
     int status = -1;
-    cores_[host]->node->submit(now_, update, [&](replication::Answer answer) { status = answer.status; });
-    run(constants::kSubmitGiveUpMs + 50);
+    cores_[host]->node->submit(now_, update, [&](Status answer) { status = answer_code(answer); });
+    run(replication::kSubmitTimeoutMs + 50);
     return status;
   }
   void read(const std::string& host, const std::string& key) {
-    cores_[host]->node->read(now_, key, [](std::optional<std::string>, bool ok) { EXPECT_TRUE(ok); });
+    cores_[host]->node->read(now_, key,
+                             [](const Result<std::optional<std::string>>& value) { EXPECT_TRUE(value); });
   }
-  Node& at(const std::string& host) { return *cores_[host]->node; }
+  Replica& at(const std::string& host) { return *cores_[host]->node; }
   std::size_t staged(const std::string& host) { return cores_[host]->disk.stored_staged_rows.size(); }
   Millis now() const { return now_; }
   std::vector<std::string> sent() const {
@@ -71,22 +74,23 @@
   }
 
  private:
-  struct Core : replication::Outlet {
+  struct Core : replication::Environment {
     explicit Core(Scenario& owner) : scenario(owner) {}
-    void send(const std::string& to, const Json& message) override {
-      scenario.record(message);
+    void send(const std::string& to, const replication::Message& message) override {
+      const Json encoded = replication::encode(message);
+      scenario.record(encoded);
       if (node)
         scenario.network_.push_back(
-            {scenario.now_ + kDelayMs, node->self(), replication::host_of(to), message});
+            {scenario.now_ + kDelayMs, node->self(), replication::host_of(to), encoded});
     }
-    replication::Verdict judge(const StateTable& state, const Json& update) override {
+    replication::ValidationResult validate(const StateTable& state, const Json& update) override {
       return judge_update(state, update);
     }
-    void committed(std::uint64_t) override {}
-    void note(const std::string&) override {}
+    void on_committed() override {}
+    void log_event(const std::string&) override {}
     Scenario& scenario;
     MemoryStorage disk;
-    std::unique_ptr<Node> node;
+    std::unique_ptr<Replica> node;
   };
   struct Sent {
     Millis at = 0;
@@ -100,7 +104,7 @@
       network_.pop_front();
       if (next.to == cut_off_ || replication::host_of(next.from) == cut_off_) continue;
       if (auto& core = cores_[next.to]; core && core->node)
-        core->node->receive(now_, next.from, next.message);
+        receive_encoded(*core->node, now_, next.from, next.message);
     }
   }
   // Messages are alike in shape when they have the same type and fields, and mean the same by them.
@@ -222,9 +226,9 @@
   cores.run(5000);
   cores.cut_off("");
   cores.run(5000);
-  cores.at(kTail).part(cores.now());
+  cores.at(kTail).begin_leaving(cores.now());
   cores.run(500);
-  cores.at(kTail).step_out(cores.now());
+  cores.at(kTail).stop(cores.now());
   cores.run(1500);
 }
 
@@ -253,18 +257,20 @@
   for (auto& line : lines) {
     const Json message = Json::parse(line);
     EXPECT_EQ(message.dump(), line);
-    EXPECT_TRUE(replication::well_formed(message)) << line;
+    auto decoded = replication::decode(message);
+    ASSERT_TRUE(decoded) << line;
+    EXPECT_EQ(replication::encode(*decoded).dump(), line);
     for (auto& [field, value] : message.items()) {
       Json wrong = message;
       wrong[field] = Json{{"no", "such"}};
       const bool free_form =
           field == "st" || (field == "u" && message["t"] == "sub");  // checked where it is used
-      EXPECT_EQ(replication::well_formed(wrong), free_form) << wrong;
+      EXPECT_EQ(well_formed(wrong), free_form) << wrong;
     }
   }
-  EXPECT_FALSE(replication::well_formed(Json::array()));
-  EXPECT_FALSE(replication::well_formed(Json{{"n", 1}}));
-  EXPECT_TRUE(replication::well_formed(Json{{"t", "of-a-newer-release"}}));
+  EXPECT_FALSE(well_formed(Json::array()));
+  EXPECT_FALSE(well_formed(Json{{"n", 1}}));
+  EXPECT_TRUE(well_formed(Json{{"t", "of-a-newer-release"}}));
 }
 
 }  // namespace
--- a/tests/replication/replica_cluster.h
+++ b/tests/replication/replica_cluster.h
@@ -7,35 +7,36 @@
 #include <memory>
 
 #include "base/constants.h"
+#include "replication/encoded_messages.h"
 #include "replication/replica.h"
 #include "replication/simulated_network.h"
 #include "storage/memory_storage.h"
 
 namespace pebblespindle::test {
 
-using replication::Answer;
-using replication::Node;
+using replication::Replica;
 
 struct Fleet;
 
-struct Core : replication::Outlet {
+struct Core : replication::Environment {
   Fleet& fleet;
   std::string host;
   MemoryStorage disk;
-  std::unique_ptr<Node> node;
+  std::unique_ptr<Replica> node;
   Core(Fleet& f, std::string h) : fleet(f), host(std::move(h)) {}
-  void send(const std::string& to, const Json& m) override;
-  replication::Verdict judge(const StateTable& state, const Json& u) override {
+  void send(const std::string& to, const replication::Message& m) override;
+  replication::ValidationResult validate(const StateTable& state, const Json& u) override {
     // {key, expect, value}: a compare-and-set, as the configuration and the leads use it.
     const Row* r = state.find(u["key"]);
     std::string current = r ? r->value : "";
     if (current == u["value"]) return {};
-    if (current != u["expect"]) return {412, "lost the race", {}};
-    return {200, {}, {{u["key"], u["value"], 0, u["value"] == ""}}};  // an empty value takes the row away
+    if (current != u["expect"]) return {Status::conflict("lost the race"), {}};
+    return {Status::ok(),
+            {{u["key"], u["value"], 0, u["value"] == ""}}};  // an empty value takes the row away
   }
   int rises = 0;  // of what is committed: each is fed to every node
-  void committed(std::uint64_t) override;
-  void note(const std::string& t) override;
+  void on_committed() override;
+  void log_event(const std::string& t) override;
 };
 
 struct Fleet {
@@ -47,16 +48,17 @@
     for (auto& host : hosts) start(host, true);
     net.deliver = [this](const std::string& to, const std::string& from, const Json& m) {
       auto& c = cores[to];
-      if (c && c->node) c->node->receive(net.now, from, m);
+      if (c && c->node) receive_encoded(*c->node, net.now, from, m);
     };
   }
-  Node& at(const std::string& host) { return *cores[host]->node; }
+  Replica& at(const std::string& host) { return *cores[host]->node; }
   bool up(const std::string& host) { return cores[host] && cores[host]->node; }
   void start(const std::string& host, bool bootstrap = false) {
     auto& c = cores[host];
     if (!c) c = std::make_unique<Core>(*this, host);
-    c->node = std::make_unique<Node>(
-        Node::Start{host, seeds, bootstrap, losses, std::uint64_t(net.rng()) << 20 | net.rng(), piece_bytes},
+    c->node = std::make_unique<Replica>(
+        replication::ReplicaOptions{host, seeds, bootstrap, losses,
+                                    std::uint64_t(net.rng()) << 20 | net.rng(), piece_bytes},
         c->disk, *c, net.now);
   }
   void stop(const std::string& host, bool wipe = false) {
@@ -79,16 +81,16 @@
       for (auto& host : hosts) {
         if (!up(host)) continue;
         if (net.now % 20 == 0) at(host).tick(net.now);
-        if (at(host).leads(net.now)) {
+        if (at(host).is_leader(net.now)) {
           ++leaders;
-          auto token = at(host).view().headed;
+          auto token = at(host).view().term;
           if (at(host).self() != holder) {
             ASSERT_GT(token, top) << "a new holder without a higher token";
           }
           holder = at(host).self();
           top = token;
         }
-        tails += at(host).tail() && at(host).seated(net.now);
+        tails += at(host).is_tail() && at(host).holds_lease(net.now);
       }
       ASSERT_LE(leaders, 1) << "two cores hold the duty";
       ASSERT_LE(tails, 1) << "two cores answer reads";
@@ -97,7 +99,7 @@
   // One history: the same number never stands for two different rows once it is committed somewhere.
   void check_history() {
     for (auto& host : hosts) {
-      if (!up(host) || !at(host).settled()) continue;
+      if (!up(host) || !at(host).all_committed()) continue;
       for (auto& r : at(host).state().rows_after(0)) {
         auto [it, fresh] = history.emplace(r.sequence, r);
         ASSERT_EQ(it->second, r) << "number " << r.sequence << " stands for two rows";
@@ -108,14 +110,14 @@
              const std::string& value) {
     int status = -1;
     at(host).submit(net.now, {{"key", key}, {"expect", expect}, {"value", value}},
-                    [&status](Answer a) { status = a.status; });
+                    [&status](Status a) { status = answer_code(a); });
     run(constants::kSubmitGiveUpMs + 50);
     return status;
   }
   std::optional<std::string> read(const std::string& host, const std::string& key) {
     std::optional<std::string> out;
     at(host).read(net.now, key,
-                  [&out](std::optional<std::string> v, bool ok) { out = ok ? v : std::nullopt; });
+                  [&out](Result<std::optional<std::string>> read) { out = read ? *read : std::nullopt; });
     run(constants::kSubmitGiveUpMs + 50);
     return out;
   }
@@ -128,14 +130,14 @@
   std::uint64_t top = 0;
 };
 
-inline void Core::send(const std::string& to, const Json& m) {
-  fleet.net.send(node ? node->self() : host, replication::host_of(to), m);
+inline void Core::send(const std::string& to, const replication::Message& m) {
+  fleet.net.send(node ? node->self() : host, replication::host_of(to), replication::encode(m));
 }
-inline void Core::note(const std::string& t) {
+inline void Core::log_event(const std::string& t) {
   if (std::getenv("CHAIN_NOTES"))
     std::printf("%lld %s: %s\n", (long long)fleet.net.now, host.c_str(), t.c_str());
 }
-inline void Core::committed(std::uint64_t) {
+inline void Core::on_committed() {
   ++rises;
   fleet.check_history();
 }
--- a/tests/replication/replica_faults_test.cc
+++ b/tests/replication/replica_faults_test.cc
@@ -1,6 +1,7 @@
 // The core on its worst days, on the simulated network: the code of the process, and after each step what
 // must hold. docs/worst-days.md tells the argument; each guard named there has a test here that fails without
 // it.
+#include "replication/encoded_messages.h"
 #include "replication/faulty_cluster.h"
 
 namespace pebblespindle::test {
@@ -16,12 +17,12 @@
   d.busy = true;
   auto place = [&](int which) {  // head, tail, a middle, or any
     for (auto& h : d.hosts)
-      if (d.up(h) && d.at(h).seated(d.now())) {
+      if (d.up(h) && d.at(h).holds_lease(d.now())) {
         auto& m = d.at(h).view().members;
         auto& one = which == 0   ? m.front()
                     : which == 1 ? m.back()
                                  : m[std::size_t(d.net.pick(int(m.size())))];
-        return replication::host_of(one.name);
+        return replication::host_of(one.id);
       }
     return d.any();
   };
@@ -57,23 +58,25 @@
   EXPECT_GT(d.answered, 0);
 }
 
-TEST(WorstDays, CutOffCoresHandOutNothing) {
+TEST(ReplicaFaults, CutOffCoresHandOutNothing) {
   each_seed(500, [](std::uint32_t seed) { cut_days(seed, seed % 25 == 0); });
 }
 
 // A refusal, like a value, counts only from the core that was asked, and a refusal only for the last try: the
 // update may have been taken after an earlier one.
-TEST(WorstDays, ARefusalCountsForTheLastTryOnly) {
+TEST(ReplicaFaults, ARefusalCountsForTheLastTryOnly) {
   Days d(3, 3, 3, 1);
   d.go(1500);
   auto view = d.at("core0").view();
-  std::string head = view.head(), tail = view.tail(), one = view.members[1].name;
-  Node& node = d.at(one);
+  std::string head = view.head(), tail = view.tail(), one = view.members[1].id;
+  Replica& node = d.at(one);
   d.cut_off(one, true);
   int status = -1, told = -1;
-  node.submit(d.now(), {{"key", "k0"}, {"expect", ""}, {"value", "1"}}, [&](Answer a) { status = a.status; });
-  node.read(d.now(), "k0",
-            [&](std::optional<std::string> v, bool ok) { told = ok && v ? std::stoi(*v) : 0; });
+  node.submit(d.now(), {{"key", "k0"}, {"expect", ""}, {"value", "1"}},
+              [&](Status a) { status = answer_code(a); });
+  node.read(d.now(), "k0", [&](const Result<std::optional<std::string>>& value) {
+    told = value && *value ? std::stoi(**value) : 0;
+  });
   // The ids of the two, as their messages name them.
   std::uint64_t id = 0;
   d.net.cuts.clear();
@@ -83,32 +86,32 @@
   for (int i = 0; i < 350; ++i) d.net.step(), node.tick(d.now());
   ASSERT_NE(id, 0u);
   auto refuse = [&](const std::string& from, int tried) {
-    node.receive(d.now(), from, {{"t", "done"}, {"id", id}, {"s", 412}, {"why", "x"}, {"q", tried}});
+    receive_encoded(node, d.now(), from, {{"t", "done"}, {"id", id}, {"s", 412}, {"why", "x"}, {"q", tried}});
   };
   refuse(head, 1);  // of the first try, and the second is out
   refuse(tail, 2);  // of one that was not asked
   EXPECT_EQ(status, -1);
   refuse(head, 2);
   EXPECT_EQ(status, 412);
-  node.receive(d.now(), head, {{"t", "val"}, {"id", id + 1}, {"v", "9"}});
+  receive_encoded(node, d.now(), head, {{"t", "val"}, {"id", id + 1}, {"v", "9"}});
   EXPECT_EQ(told, -1) << "a value of a core that was not asked";
-  node.receive(d.now(), tail, {{"t", "val"}, {"id", id + 1}, {"v", "9"}});
+  receive_encoded(node, d.now(), tail, {{"t", "val"}, {"id", id + 1}, {"v", "9"}});
   EXPECT_EQ(told, 9);
 }
 
 // An offer that was long on its way, to the head of a former view, is taken by nobody.
-TEST(WorstDays, AnOfferOfAFormerViewIsNotTaken) {
+TEST(ReplicaFaults, AnOfferOfAFormerViewIsNotTaken) {
   Days d(4, 3, 3, 1);
   d.go(1500);
-  Node& head = d.at(d.at("core0").view().head());
+  Replica& head = d.at(d.at("core0").view().head());
   auto before = head.state().last_sequence();
   auto offer = [&](std::uint64_t view) {
-    head.receive(d.now(), "core2",
-                 {{"t", "sub"},
-                  {"id", 7 + view},
-                  {"n", view},
-                  {"q", 1},
-                  {"u", {{"key", "k0"}, {"expect", ""}, {"value", "1"}}}});
+    receive_encoded(head, d.now(), "core2",
+                    {{"t", "sub"},
+                     {"id", 7 + view},
+                     {"n", view},
+                     {"q", 1},
+                     {"u", {{"key", "k0"}, {"expect", ""}, {"value", "1"}}}});
   };
   offer(head.view().number - 1);
   EXPECT_EQ(head.state().last_sequence(), before);
@@ -117,69 +120,69 @@
 }
 
 // The tail's word is an acknowledgement. Without a seat it keeps it to itself, though the change has come.
-TEST(WorstDays, ATailWithoutASeatAcknowledgesNothing) {
+TEST(ReplicaFaults, ATailWithoutASeatAcknowledgesNothing) {
   Days d(5, 3, 3, 1);
   d.go(1500);
   auto view = d.at("core0").view();
-  Node& tail = d.at(view.tail());
+  Replica& tail = d.at(view.tail());
   auto n = tail.state().last_sequence();
   d.cut_off(replication::host_of(view.tail()), true);
   d.go(980);
-  ASSERT_FALSE(tail.seated(d.now()));
+  ASSERT_FALSE(tail.holds_lease(d.now()));
   ASSERT_EQ(tail.view().number, view.number);
   d.net.cuts.clear();
   int acks = 0;
   d.net.deliver = [&](const std::string&, const std::string&, const Json& m) { acks += m["t"] == "done"; };
-  tail.receive(d.now(), view.members[1].name,
-               {{"t", "up"},
-                {"n", view.number},
-                {"base", n},
-                {"bt", 0},
-                {"k", n + 1},
-                {"r", Json::array({Json::array({"k0", n + 1, "1"})})},
-                {"o", Json::array({Json::array({n + 1, view.head(), 5})})}});
+  receive_encoded(tail, d.now(), view.members[1].id,
+                  {{"t", "up"},
+                   {"n", view.number},
+                   {"base", n},
+                   {"bt", 0},
+                   {"k", n + 1},
+                   {"r", Json::array({Json::array({"k0", n + 1, "1"})})},
+                   {"o", Json::array({Json::array({n + 1, view.head(), 5})})}});
   ASSERT_EQ(tail.state().last_sequence(), n + 1);
   for (int i = 0; i < 20; ++i) d.net.step(), tail.tick(d.now());
   EXPECT_EQ(acks, 0);
 }
 
 // A head that has accepted a view without itself acts no more, though another's lease to it runs on.
-TEST(WorstDays, WhoHasAcceptedAViewWithoutItselfHasNoSeat) {
+TEST(ReplicaFaults, WhoHasAcceptedAViewWithoutItselfHasNoSeat) {
   Days d(14258, 3, 3, 1);
   d.go(1500);
   auto view = d.at("core0").view();
-  Node& head = d.at(view.head());
+  Replica& head = d.at(view.head());
   auto next = view;
   ++next.number;
   next.members.erase(next.members.begin());
-  next.headed = next.number;
-  d.net.cuts.insert({view.members[1].name, view.head()});  // one other grants, as the head itself does
+  next.term = next.number;
+  d.net.cuts.insert({view.members[1].id, view.head()});  // one other grants, as the head itself does
   d.go(1000);
   ASSERT_EQ(head.view().number, view.number);
-  ASSERT_TRUE(head.leads(d.now()));
-  head.receive(d.now(), view.members[1].name,
-               {{"t", "acc"}, {"n", next.number}, {"b", 1000}, {"view", next.json()}});
-  EXPECT_FALSE(head.leads(d.now()));
+  ASSERT_TRUE(head.is_leader(d.now()));
+  receive_encoded(head, d.now(), view.members[1].id,
+                  {{"t", "acc"}, {"n", next.number}, {"b", 1000}, {"view", replication::encode_view(next)}});
+  EXPECT_FALSE(head.is_leader(d.now()));
 }
 
 // Whom a machine may turn to is told by cores that know today's view: also by one that stands by.
-TEST(WorstDays, OnlyWhoHearsAMajorityTellsWhereToTurn) {
+TEST(ReplicaFaults, OnlyWhoHearsAMajorityTellsWhereToTurn) {
   Days d(6, 4, 3, 1);
   d.go(3000);
   auto& by = d.at("core3");
-  EXPECT_FALSE(by.seated(d.now()));
-  EXPECT_TRUE(by.in_touch(d.now()));
+  EXPECT_FALSE(by.holds_lease(d.now()));
+  EXPECT_TRUE(by.hears_majority(d.now()));
   d.cut_off("core3", true);
   d.cut_off("core1", false);
   d.go(1300);
-  EXPECT_FALSE(by.in_touch(d.now()));
-  EXPECT_FALSE(d.at("core1").in_touch(d.now()));
-  EXPECT_TRUE(d.at("core2").in_touch(d.now()));
+  EXPECT_FALSE(by.hears_majority(d.now()));
+  EXPECT_FALSE(d.at("core1").hears_majority(d.now()));
+  EXPECT_TRUE(d.at("core2").hears_majority(d.now()));
 }
 
 // Messages with fields changed, dropped, or of another type, from members and from strangers: nobody ends,
 // and what is committed stays as it is.
-TEST(WorstDays, MutatedMessagesChangeNothingThatIsCommitted) {
+TEST(ReplicaFaults, MutatedMessagesChangeNothingThatIsCommitted) {
   each_seed(100, [](std::uint32_t seed) {
     SCOPED_TRACE(seed);
     Days d(seed, 3, 3, 1);
@@ -222,16 +225,15 @@
           field = odd[std::size_t(d.net.pick(int(odd.size())))];
       }
       std::string from = d.net.chance(0.8) ? d.any() : d.net.chance(0.5) ? "stranger" : "";
-      Node& node = d.at(d.any());
+      Replica& node = d.at(d.any());
       auto committed = node.committed();
       std::map<std::string, std::string> kept;
       for (auto& r : node.state().rows_after(0))
         if (r.sequence <= committed) kept[r.key] = r.value;
       // What is well formed and only says something else than was meant is not told from a true word.
-      bool true_looking =
-          replication::well_formed(m) && (m["t"] == "up" || m["t"] == "sub" || m["t"] == "dec");
+      bool true_looking = well_formed(m) && (m["t"] == "up" || m["t"] == "sub" || m["t"] == "dec");
       if (true_looking) continue;
-      node.receive(d.now(), from, m);
+      receive_encoded(node, d.now(), from, m);
       ASSERT_EQ(node.committed(), committed) << m;
       for (auto& [key, value] : kept) {
         ASSERT_TRUE(node.state().find(key)) << m;
@@ -251,10 +253,10 @@
 // Ends in order, as the process does: it hands over, steps out, and is gone 50 ms later. How long that took.
 Millis end_in_order(Days& d, const std::string& one) {
   Millis since = d.now();
-  d.at(one).part(d.now());
-  while (!d.at(one).may_go(d.now()) && d.now() < since + kHandOverMs && !testing::Test::HasFailure())
+  d.at(one).begin_leaving(d.now());
+  while (!d.at(one).may_exit(d.now()) && d.now() < since + kHandOverMs && !testing::Test::HasFailure())
     d.go(20);
-  d.at(one).step_out(d.now());
+  d.at(one).stop(d.now());
   d.go(50);
   d.stop(one);
   d.links.erase(one);
@@ -275,7 +277,7 @@
       if (!d.up(h)) continue;
       auto& v = d.at(h).view();
       if (kind == 0) seen.push_back(v.number);
-      if (kind == 1) seen.push_back(d.at(h).in_step());
+      if (kind == 1) seen.push_back(d.at(h).in_sync());
       if (kind == 2) seen.push_back(v.voters);
     }
     return seen;
@@ -298,7 +300,8 @@
     const std::string fresh = "core" + std::to_string(100 + round);
     auto voter = [&] {
       std::string h = d.any();
-      while (!testing::Test::HasFailure() && !(d.up(h) && d.at(h).view().votes(d.at(h).self()))) h = d.any();
+      while (!testing::Test::HasFailure() && !(d.up(h) && d.at(h).view().has_voter(d.at(h).self())))
+        h = d.any();
       return h;
     };
     auto gone = [&](const std::string& one) {
@@ -379,23 +382,23 @@
   }
 }
 
-TEST(WorstDays, ALossAfterARepairLosesNothing) {
+TEST(ReplicaFaults, ALossAfterARepairLosesNothing) {
   each_seed(500, [](std::uint32_t seed) { loss_days(seed, seed % 3 ? 1 : 2); });
 }
 
 void head_gives_its_vote_away(Days& d) {
   d.go(3000);
-  Node& head = d.at("core0");
-  ASSERT_TRUE(head.leads(d.now()));
-  head.part(d.now());
+  Replica& head = d.at("core0");
+  ASSERT_TRUE(head.is_leader(d.now()));
+  head.begin_leaving(d.now());
   for (Millis end = d.now() + 2000;
-       d.now() < end && head.view().votes("core0") && !testing::Test::HasFailure();)
+       d.now() < end && head.view().has_voter("core0") && !testing::Test::HasFailure();)
     d.go(1);
-  ASSERT_FALSE(head.view().votes("core0"));
+  ASSERT_FALSE(head.view().has_voter("core0"));
 }
 
 // A head that has given its vote away, and came back, is the head still: the next view is decided over it.
-TEST(WorstDays, AHeadWithoutAVoteDoesNotStopTheNextView) {
+TEST(ReplicaFaults, AHeadWithoutAVoteDoesNotStopTheNextView) {
   Days d(273, 4, 3, 1);
   ASSERT_NO_FATAL_FAILURE(head_gives_its_vote_away(d));
   d.go(300);
@@ -407,12 +410,12 @@
   d.stop("core2");
   d.go(4000);
   EXPECT_FALSE(d.at("core1").view().has("core2"));
-  EXPECT_TRUE(d.at("core1").view().votes("core0")) << "nobody takes the vote of the one that is gone";
+  EXPECT_TRUE(d.at("core1").view().has_voter("core0")) << "nobody takes the vote of the one that is gone";
 }
 
 // Who leaves on purpose is a member and votes until one that stands by holds the state and votes in its
 // place.
-TEST(WorstDays, WhoLeavesHandsOverFirst) {
+TEST(ReplicaFaults, WhoLeavesHandsOverFirst) {
   Millis longest = 0;
   for (std::uint32_t seed = 1; seed <= 40 && !testing::Test::HasFailure(); ++seed) {
     SCOPED_TRACE(seed);
@@ -421,12 +424,12 @@
     d.busy = true;
     d.go(500);
     auto before = d.at("core0").view();
-    std::string one = replication::host_of(before.members[seed % 3].name);
-    ASSERT_TRUE(d.at(one).view().votes(one));
+    std::string one = replication::host_of(before.members[seed % 3].id);
+    ASSERT_TRUE(d.at(one).view().has_voter(one));
     longest = std::max(longest, end_in_order(d, one));
     auto& v = d.newest().view();
     EXPECT_EQ(v.voters.size(), 3u);
-    EXPECT_FALSE(v.votes(one)) << "it is gone and votes";
+    EXPECT_FALSE(v.has_voter(one)) << "it is gone and votes";
     std::string next = d.any();  // the next loss comes at once, with its disk
     while (next == one) next = d.any();
     d.stop(next, true);
@@ -440,18 +443,18 @@
 }
 
 // It waits until as many know that it votes no more as can take the next loss.
-TEST(WorstDays, WhoLeavesIsNotTheOnlyOneToKnowTheNewVoters) {
+TEST(ReplicaFaults, WhoLeavesIsNotTheOnlyOneToKnowTheNewVoters) {
   Days d(13581, 4, 3, 1);
   ASSERT_NO_FATAL_FAILURE(head_gives_its_vote_away(d));
-  Node& head = d.at("core0");
-  EXPECT_FALSE(head.may_go(d.now()));
+  Replica& head = d.at("core0");
+  EXPECT_FALSE(head.may_exit(d.now()));
   d.go(500);
-  EXPECT_TRUE(head.may_go(d.now()));
+  EXPECT_TRUE(head.may_exit(d.now()));
 }
 
 // The second member dies, with its disk, just as a view is decided: those behind it have no state, and are
 // not to blame for that.
-TEST(WorstDays, ALossRightAfterADecidedViewDoesNotStopTheCore) {
+TEST(ReplicaFaults, ALossRightAfterADecidedViewDoesNotStopTheCore) {
   for (std::uint32_t seed = 1; seed <= 20 && !testing::Test::HasFailure(); ++seed) {
     SCOPED_TRACE(seed);
     Days d(seed, 5, 3, 2);
@@ -464,7 +467,7 @@
     for (Millis end = d.now() + 3000;
          d.now() < end && d.newest().view().number == number && !testing::Test::HasFailure();)
       d.go(1);
-    std::string second = replication::host_of(d.newest().view().members[1].name);
+    std::string second = replication::host_of(d.newest().view().members[1].id);
     d.stop(second, true);
     d.go(10 * Millis(seed));
     d.start(second);
@@ -476,7 +479,7 @@
   }
 }
 
-TEST(WorstDays, WithoutOneThatStandsByItGoesAtOnce) {
+TEST(ReplicaFaults, WithoutOneThatStandsByItGoesAtOnce) {
   Days d(2, 3, 3, 1);
   d.go(2000);
   d.busy = true;
@@ -486,7 +489,7 @@
   EXPECT_FALSE(d.at("core1").view().has("core0"));
   d.start("core0");
   Millis since = d.now();
-  while (!(d.at("core1").view().has("core0") && d.at("core0").in_step()) && d.now() < since + 5000) d.go(10);
+  while (!(d.at("core1").view().has("core0") && d.at("core0").in_sync()) && d.now() < since + 5000) d.go(10);
   std::printf("back in step after %d ms\n", int(d.now() - since));
   d.go(4000);
   d.whole(3);
--- a/tests/replication/replica_test.cc
+++ b/tests/replication/replica_test.cc
@@ -2,6 +2,7 @@
 // history, and nothing that was acknowledged is lost.
 #include <gtest/gtest.h>
 
+#include "replication/encoded_messages.h"
 #include "replication/replica_cluster.h"
 
 namespace pebblespindle::test {
@@ -39,7 +40,7 @@
       case 2:  // crash or an end in order, perhaps straight back
         if (!free || !f.up(one)) break;
         if (f.net.chance(0.3)) {
-          f.at(one).step_out(f.net.now);
+          f.at(one).stop(f.net.now);
           f.run(f.net.pick(100));
         }
         f.stop(one);
@@ -99,15 +100,16 @@
       f.at(host).submit(
           f.net.now,
           {{"key", key}, {"expect", from ? std::to_string(from) : ""}, {"value", std::to_string(to)}},
-          [&c, to](Answer a) {
-            if (a.status == 200) c.acked = std::max(c.acked, to), c.known = std::max(c.known, to);
+          [&c, to](Status a) {
+            if (a.is_ok()) c.acked = std::max(c.acked, to), c.known = std::max(c.known, to);
           });
       // A read answered by the tail shows at least what was acknowledged before it was asked.
       int floor = c.acked;
-      f.at(host).read(f.net.now, key, [&c, floor, key](std::optional<std::string> v, bool ok) {
-        if (!ok) return;
-        EXPECT_GE(v ? std::stoi(*v) : 0, floor) << "a stale read of " << key;
-        if (v) c.known = std::max(c.known, std::stoi(*v));  // one that got no answer may have been taken
+      f.at(host).read(f.net.now, key, [&c, floor, key](const Result<std::optional<std::string>>& value) {
+        if (!value) return;
+        EXPECT_GE(*value ? std::stoi(**value) : 0, floor) << "a stale read of " << key;
+        if (*value)
+          c.known = std::max(c.known, std::stoi(**value));  // one that got no answer may have been taken
       });
       f.run(f.net.pick(300));
     }
@@ -124,34 +126,34 @@
     }
   }
   for (auto& host : f.hosts) {
-    EXPECT_TRUE(f.at(host).seated(f.net.now)) << host << " did not come back";
+    EXPECT_TRUE(f.at(host).holds_lease(f.net.now)) << host << " did not come back";
     EXPECT_EQ(f.at(host).view().voters.size(), 2 * bear + 1);
-    EXPECT_TRUE(f.at(host).view().votes(f.at(host).self())) << host << " does not vote";
+    EXPECT_TRUE(f.at(host).view().has_voter(f.at(host).self())) << host << " does not vote";
   }
 }
 
-TEST(Chain, KeepsWhatItAcknowledgedThroughCrashesAndCuts) {
+TEST(Replica, KeepsWhatItAcknowledgedThroughCrashesAndCuts) {
   for (std::uint32_t seed = 1; seed <= 20 && !testing::Test::HasFailure(); ++seed) {
     SCOPED_TRACE(seed);
     storm(seed, 3, 1, 6);
   }
 }
 
-TEST(Chain, KeepsWhatItAcknowledgedWhenDisksAreFullOrLostAndCoresReplaced) {
+TEST(Replica, KeepsWhatItAcknowledgedWhenDisksAreFullOrLostAndCoresReplaced) {
   for (std::uint32_t seed = 100; seed <= 120 && !testing::Test::HasFailure(); ++seed) {
     SCOPED_TRACE(seed);
     storm(seed, 3, 1, 9);
   }
 }
 
-TEST(Chain, FiveCoresBearTwoLosses) {
+TEST(Replica, FiveCoresBearTwoLosses) {
   for (std::uint32_t seed = 200; seed <= 212 && !testing::Test::HasFailure(); ++seed) {
     SCOPED_TRACE(seed);
     storm(seed, 5, 2, 9);
   }
 }
 
-TEST(Chain, OneOfTwoChangesOnTheSameVersionWins) {
+TEST(Replica, OneOfTwoChangesOnTheSameVersionWins) {
   for (std::uint32_t seed = 1; seed <= 20; ++seed) {
     Fleet f(seed);
     f.run(1500);
@@ -159,14 +161,14 @@
     for (int i = 0; i < 2; ++i)
       f.at(f.hosts[std::size_t(i)])
           .submit(f.net.now, {{"key", "c"}, {"expect", ""}, {"value", "v" + std::to_string(i)}},
-                  [&](Answer a) { statuses.push_back(a.status); });
+                  [&](Status a) { statuses.push_back(answer_code(a)); });
     f.run(1500);
     std::sort(statuses.begin(), statuses.end());
     EXPECT_EQ(statuses, (std::vector<int>{200, 412}));
   }
 }
 
-TEST(Chain, UpdatesThatComeTogetherShareTheirSyncsAndFeeds) {
+TEST(Replica, UpdatesThatComeTogetherShareTheirSyncsAndFeeds) {
   Fleet f(5, 5, 3, 2);
   f.run(6000);
   for (auto& h : f.hosts) f.cores[h]->rises = 0;
@@ -175,7 +177,7 @@
   for (int i = 0; i < offered; ++i)
     f.at(f.hosts[std::size_t(i) % 5])
         .submit(f.net.now, {{"key", "k" + std::to_string(i)}, {"expect", ""}, {"value", "v"}},
-                [&acked](Answer a) { acked += a.status == 200; });
+                [&acked](Status a) { acked += a.is_ok(); });
   f.run(constants::kSubmitGiveUpMs + 50);
   EXPECT_EQ(acked, offered);
   for (auto& h : f.hosts) {
@@ -184,7 +186,7 @@
   }
 }
 
-TEST(Chain, ACutOffTailIsSilentBeforeItIsPutOut) {
+TEST(Replica, ACutOffTailIsSilentBeforeItIsPutOut) {
   Fleet f(7);
   f.run(1500);
   std::string tail = f.at("core0").view().tail();
@@ -193,7 +195,7 @@
   EXPECT_NE(f.at("core0").view().tail(), tail);
 }
 
-TEST(Chain, AMemberThatDoesNotHearIsPutOut) {
+TEST(Replica, AMemberThatDoesNotHearIsPutOut) {
   Fleet f(8);
   f.run(1500);
   f.cut_off("core1", false);  // it is heard all the while
@@ -202,7 +204,7 @@
   EXPECT_EQ(f.submit("core0", "k", "", "v"), 200);
 }
 
-TEST(Chain, ALostDiskTakesItsVoteWithIt) {
+TEST(Replica, ALostDiskTakesItsVoteWithIt) {
   Fleet f(9);
   f.run(1500);
   ASSERT_EQ(f.submit("core0", "k", "", "v"), 200);
@@ -212,12 +214,12 @@
   EXPECT_NE(f.at("core0").self(), "core0");
   f.run(5000);
   auto& v = f.at("core1").view();
-  EXPECT_FALSE(v.votes("core0")) << "the identity whose promises are forgotten still votes";
-  EXPECT_TRUE(v.votes(f.at("core0").self()));
+  EXPECT_FALSE(v.has_voter("core0")) << "the identity whose promises are forgotten still votes";
+  EXPECT_TRUE(v.has_voter(f.at("core0").self()));
   EXPECT_EQ(f.read("core0", "k"), "v");
 }
 
-TEST(Chain, AReplacedCoreNeitherVotesNorLeadsWhenItComesBack) {
+TEST(Replica, AReplacedCoreNeitherVotesNorLeadsWhenItComesBack) {
   Fleet f(10);
   f.run(1500);
   ASSERT_EQ(f.submit("core1", "k", "", "v"), 200);
@@ -225,12 +227,12 @@
   f.hosts.push_back("core9");
   f.start("core9");
   f.run(6000);
-  EXPECT_FALSE(f.at("core1").view().votes("core0"));
-  EXPECT_TRUE(f.at("core1").view().votes(f.at("core9").self()));
+  EXPECT_FALSE(f.at("core1").view().has_voter("core0"));
+  EXPECT_TRUE(f.at("core1").view().has_voter(f.at("core9").self()));
   f.start("core0");
   f.run(4000);
-  EXPECT_FALSE(f.at("core0").view().votes("core0"));
-  EXPECT_FALSE(f.at("core0").leads(f.net.now));
+  EXPECT_FALSE(f.at("core0").view().has_voter("core0"));
+  EXPECT_FALSE(f.at("core0").is_leader(f.net.now));
   // The others can lose one more by now, and it still takes no seat by itself.
   f.stop("core1");
   f.run(4000);
@@ -238,32 +240,32 @@
   EXPECT_EQ(f.read("core0", "k"), "w") << "a core outside the view passes calls on";
 }
 
-TEST(Chain, ACoreThatEndsInOrderIsNotWaitedFor) {
+TEST(Replica, ACoreThatEndsInOrderIsNotWaitedFor) {
   Fleet f(12);
   f.run(1500);
-  f.at("core0").step_out(f.net.now);
+  f.at("core0").stop(f.net.now);
   f.run(450);  // less than the silence of a core that is suspected
   EXPECT_FALSE(f.at("core1").view().has("core0"));
-  EXPECT_TRUE(f.at("core1").leads(f.net.now));
+  EXPECT_TRUE(f.at("core1").is_leader(f.net.now));
 }
 
-TEST(Chain, ACoreWhoseDiskIsFullStepsOutAndComesBack) {
+TEST(Replica, ACoreWhoseDiskIsFullStepsOutAndComesBack) {
   Fleet f(11);
   f.run(1500);
   f.cores["core2"]->disk.full = true;
   EXPECT_EQ(f.submit("core0", "k", "", "v"), 200) << "the others go on at once";
   f.run(3000);
-  EXPECT_TRUE(f.at("core2").sick());
+  EXPECT_TRUE(f.at("core2").disk_failed());
   EXPECT_FALSE(f.at("core0").view().has("core2"));
   EXPECT_EQ(f.submit("core0", "l", "", "v"), 200);
   f.cores["core2"]->disk.full = false;
   f.run(4000);
-  EXPECT_TRUE(f.at("core2").seated(f.net.now));
+  EXPECT_TRUE(f.at("core2").holds_lease(f.net.now));
   EXPECT_EQ(f.at("core2").state().find("l")->value, "v");
 }
 
 // What a write that the disk refused would have stored is known to nobody once the disk is well again.
-TEST(Chain, AfterARefusedWriteTheDiskCountsAndNotTheMemory) {
+TEST(Replica, AfterARefusedWriteTheDiskCountsAndNotTheMemory) {
   Fleet f(4, 1, 1, 0);
   f.run(3000);
   auto& core = f.hosts[0];
@@ -276,22 +278,22 @@
 }
 
 // A grant for a former view that comes late gives no place in the present one.
-TEST(Chain, ALeaseOfAFormerViewSeatsNobody) {
+TEST(Replica, ALeaseOfAFormerViewSeatsNobody) {
   Fleet f(6);
   f.run(4000);
   std::string one = f.hosts[0];
   f.cut_off(one, true);
   f.run(3000);
-  Node& node = f.at(one);
-  ASSERT_FALSE(node.seated(f.net.now));
+  Replica& node = f.at(one);
+  ASSERT_FALSE(node.holds_lease(f.net.now));
   auto grant = [&](std::uint64_t view) {
     for (auto& other : f.hosts)
-      if (other != one) node.receive(f.net.now, other, {{"t", "a"}, {"v", view}, {"at", f.net.now}});
+      if (other != one) receive_encoded(node, f.net.now, other, {{"t", "a"}, {"v", view}, {"at", f.net.now}});
   };
   grant(node.view().number - 1);
-  EXPECT_FALSE(node.seated(f.net.now));
+  EXPECT_FALSE(node.holds_lease(f.net.now));
   grant(node.view().number);
-  EXPECT_TRUE(node.seated(f.net.now));
+  EXPECT_TRUE(node.holds_lease(f.net.now));
 }
 
 }  // namespace
--- a/tests/replication/state_transfer_test.cc
+++ b/tests/replication/state_transfer_test.cc
@@ -1,5 +1,6 @@
 // Catching up: a member is sent what it lacks, a newcomer a whole state in pieces, and half a state is never
 // used.
+#include "replication/encoded_messages.h"
 #include "replication/replica_cluster.h"
 #include "seeds.h"
 
@@ -23,7 +24,7 @@
         longest = std::max(longest, n);
       }
       auto& c = cores[to];
-      if (c && c->node) c->node->receive(net.now, from, m);
+      if (c && c->node) receive_encoded(*c->node, net.now, from, m);
     };
   }
   void fill(int rows, std::size_t size) {
@@ -31,14 +32,14 @@
     for (int i = 0; i < rows; ++i) {
       at(hosts[0]).submit(
           net.now, {{"key", "k" + std::to_string(i)}, {"expect", ""}, {"value", std::string(size, 'v')}},
-          [&done](Answer a) { done += a.status == 200; });
+          [&done](Status a) { done += a.is_ok(); });
       if (i % 200 == 199) run(60);
     }
     run(1000);
     ASSERT_EQ(done, rows);
   }
   bool stands(const std::string& host) {
-    return up(host) && at(host).in_step() && at(host).view().has(at(host).self());
+    return up(host) && at(host).in_sync() && at(host).view().has(at(host).self());
   }
 };
 
@@ -48,7 +49,7 @@
   return rows;
 }
 
-TEST(CatchUp, ARestartedMemberIsSentWhatItLacks) {
+TEST(StateTransfer, ARestartedMemberIsSentWhatItLacks) {
   for (Millis away : {200, 3000}) {  // still a member, and put out meanwhile
     Counted f(31);
     f.count();
@@ -60,7 +61,7 @@
       int status = -1;
       f.at(host == "core0" ? "core1" : "core0")
           .submit(f.net.now, {{"key", "of " + host}, {"expect", ""}, {"value", "v"}},
-                  [&status](Answer a) { status = a.status; });
+                  [&status](Status a) { status = answer_code(a); });
       f.run(away);
       f.bytes.clear();
       f.start(host);
@@ -73,7 +74,7 @@
   }
 }
 
-TEST(CatchUp, AnEmptyMemberTakesAStateBeyondOneMessage) {
+TEST(StateTransfer, AnEmptyMemberTakesAStateBeyondOneMessage) {
   Counted f(32);
   f.count();
   f.run(3000);
@@ -87,7 +88,7 @@
   for (int i = 0; i < 60; ++i) {  // live changes beside it
     ++asked;
     f.at("core0").submit(f.net.now, {{"key", "live" + std::to_string(i)}, {"expect", ""}, {"value", "v"}},
-                         [&changes](Answer a) { changes += a.status == 200; });
+                         [&changes](Status a) { changes += a.is_ok(); });
     f.run(100);
   }
   f.run(2000);
@@ -101,7 +102,7 @@
 }
 
 // Seen to take part only when the state is whole; what is there after a break is not sent again.
-TEST(CatchUp, AHalfTakenStateIsNeverUsedAndGoesOnAfterABreak) {
+TEST(StateTransfer, AHalfTakenStateIsNeverUsedAndGoesOnAfterABreak) {
   Counted f(33, 4, 3, 1);
   f.piece_bytes = 2000;
   for (auto& h : f.hosts) f.stop(h, true);
@@ -113,8 +114,8 @@
   ASSERT_NO_FATAL_FAILURE(f.fill(800, 300));
   f.start("core3");
   int breaks = 0;
-  for (int i = 0; i < 4000 && !(f.at("core3").taken() > 200 * std::size_t(breaks + 1)); ++i) f.run(1);
-  const std::size_t before = f.at("core3").taken();
+  for (int i = 0; i < 4000 && !(f.at("core3").received_rows() > 200 * std::size_t(breaks + 1)); ++i) f.run(1);
+  const std::size_t before = f.at("core3").received_rows();
   ASSERT_GT(before, 100u);
   ASSERT_LT(before, 700u);
   EXPECT_EQ(f.at("core3").state().size(), 0u) << "half a state is in use";
@@ -123,7 +124,7 @@
   f.stop(f.at("core0").view().tail());
   f.run(300);
   f.start("core3");
-  EXPECT_EQ(f.at("core3").taken(), before) << "what was taken is on the disk";
+  EXPECT_EQ(f.at("core3").received_rows(), before) << "what was taken is on the disk";
   EXPECT_EQ(f.at("core3").state().size(), 0u);
   f.bytes.clear();
   f.run(6000);
@@ -134,7 +135,7 @@
 
 // A head numbers a change that nobody gets and dies; the others give the number again. It comes back with the
 // same number and another row.
-TEST(CatchUp, NumbersOfALostSuffixAreToldApart) {
+TEST(StateTransfer, NumbersOfALostSuffixAreToldApart) {
   for (bool as_head : {false, true}) {
     Counted f(34);
     f.count();
@@ -143,8 +144,8 @@
     f.lost = [](const std::string&, const std::string& from, const Json& m) {
       return from == "core0" && m.value("t", "") == "up";
     };
-    f.at("core0").submit(f.net.now, {{"key", "lost"}, {"expect", ""}, {"value", "x"}}, [](Answer) {});
-    f.at("core0").submit(f.net.now, {{"key", "a"}, {"expect", "1"}, {"value", "x"}}, [](Answer) {});
+    f.at("core0").submit(f.net.now, {{"key", "lost"}, {"expect", ""}, {"value", "x"}}, [](Status) {});
+    f.at("core0").submit(f.net.now, {{"key", "a"}, {"expect", "1"}, {"value", "x"}}, [](Status) {});
     f.run(5);
     const std::uint64_t number = f.at("core0").state().last_sequence();
     f.stop("core0");
@@ -166,7 +167,7 @@
   }
 }
 
-TEST(CatchUp, WhoIsBehindTheTrimTakesTheStateWhole) {
+TEST(StateTransfer, WhoIsBehindTheTrimTakesTheStateWhole) {
   Counted f(35);
   f.count();
   f.run(3000);
@@ -176,11 +177,11 @@
   f.run(2000);
   ASSERT_EQ(f.submit("core0", "b", "1", ""), 200);
   for (auto* host : {"core0", "core1"}) {
-    f.at(host).trim(f.net.now, 1000);
+    f.at(host).compact(f.net.now, 1000);
     EXPECT_TRUE(f.at(host).state().find_including_deleted("b")) << "gone a moment ago";
-    f.at(host).trim(f.net.now + constants::kTrimAfterMs, 1);
+    f.at(host).compact(f.net.now + constants::kTrimAfterMs, 1);
     EXPECT_TRUE(f.at(host).state().find_including_deleted("b")) << "a node has not heard of it";
-    f.at(host).trim(f.net.now + 2 * constants::kTrimAfterMs, 1000);
+    f.at(host).compact(f.net.now + 2 * constants::kTrimAfterMs, 1000);
     EXPECT_FALSE(f.at(host).state().find_including_deleted("b"));
     EXPECT_FALSE(f.cores[host]->disk.stored_rows.count("b"));
   }
@@ -194,7 +195,7 @@
 }
 
 // A disk put back to an older copy: the next member has been sent more.
-TEST(CatchUp, ADiskThatHasGoneBackDoesNotLead) {
+TEST(StateTransfer, ADiskThatHasGoneBackDoesNotLead) {
   Fleet f(36);
   f.run(3000);
   ASSERT_EQ(f.submit("core0", "a", "", "1"), 200);
@@ -225,7 +226,7 @@
     };
     run(300);
   }
-  Node& newcomer() { return at("core2"); }
+  Replica& newcomer() { return at("core2"); }
   // A piece as the last question wants it; `left` is false for the one that makes the state whole, of `size`
   // rows.
   void piece(bool fresh, const std::string& key, bool left, std::size_t size = 0) {
@@ -236,17 +237,17 @@
            {"r", Json::array({Json::array({key, 4, "v"})})}};
     if (fresh) m["new"] = true;
     if (!left) m["e"] = Json::array({Json::array({1, 1})}), m["trimmed"] = 0, m["size"] = size;
-    newcomer().receive(net.now, "core1", Json::parse(m.dump()));  // as it comes over a link
+    receive_encoded(newcomer(), net.now, "core1", Json::parse(m.dump()));  // as it comes over a link
     run(20);
   }
 };
 
-TEST(CatchUp, AStateBegunAnewHoldsNothingOfTheOneBefore) {
+TEST(StateTransfer, AStateBegunAnewHoldsNothingOfTheOneBefore) {
   Asked f(42);
   f.piece(true, "of another", true);
-  ASSERT_EQ(f.newcomer().taken(), 1u);
+  ASSERT_EQ(f.newcomer().received_rows(), 1u);
   f.piece(true, "a", true);
-  ASSERT_EQ(f.newcomer().taken(), 1u);
+  ASSERT_EQ(f.newcomer().received_rows(), 1u);
   f.piece(false, "b", false, 2);
   EXPECT_EQ(f.newcomer().state().size(), 2u);
   EXPECT_EQ(f.newcomer().state().find("of another"), nullptr);
@@ -254,24 +255,24 @@
   EXPECT_EQ(f.cores["core2"]->disk.stored_rows.size(), 2u);
 }
 
-TEST(CatchUp, AStateThatLacksRowsIsDropped) {
+TEST(StateTransfer, AStateThatLacksRowsIsDropped) {
   Asked f(39);
   f.piece(true, "a", true);
-  ASSERT_EQ(f.newcomer().taken(), 1u);
+  ASSERT_EQ(f.newcomer().received_rows(), 1u);
   f.piece(false, "b", false, 3);
   EXPECT_EQ(f.newcomer().state().size(), 0u);
-  EXPECT_FALSE(f.newcomer().taking());
+  EXPECT_FALSE(f.newcomer().is_receiving_state());
   EXPECT_TRUE(f.cores["core2"]->disk.stored_staged_rows.empty());
 }
 
 // What a core asks is answered from where it stands only if that place is in the history of who answers.
-TEST(CatchUp, AStageOfAnotherHistoryIsBegunAnew) {
+TEST(StateTransfer, AStageOfAnotherHistoryIsBegunAnew) {
   Asked f(40);
   f.piece_bytes = 10;
   for (auto* h : {"core0", "core1"}) f.stop(h), f.start(h);
   f.run(5000);
   for (int i = 0; i < 5; ++i) ASSERT_EQ(f.submit("core0", "k" + std::to_string(i), "", "v"), 200);
-  Node& tail = f.at(f.at("core0").view().tail());
+  Replica& tail = f.at(f.at("core0").view().tail());
   Json answer;
   auto through = f.net.deliver;
   f.net.deliver = [&](const std::string& to, const std::string& from, const Json& m) {
@@ -285,11 +286,11 @@
     Json stage{{"w", true}, {"e", false}, {"c", "k1"}, {"b", 99}, {"bk", ""}, {"k", 3}, {"kt", term}};
     Json m{{"t", "have"}, {"n", tail.view().number}, {"q", 1}, {"s", 0}, {"c", 0}, {"k", 0}, {"kt", 0},
            {"st", stage}};
-    tail.receive(f.net.now, "elsewhere", Json::parse(m.dump()));
+    receive_encoded(tail, f.net.now, "elsewhere", Json::parse(m.dump()));
     f.run(500);
     return answer.contains("new");
   };
-  std::uint64_t term = tail.view().headed;
+  std::uint64_t term = tail.view().term;
   EXPECT_FALSE(ask(term)) << answer.dump();
   EXPECT_EQ(answer["r"][0][0], "k2") << "it goes on where it stood";
   EXPECT_TRUE(ask(term + 7)) << answer.dump();
@@ -297,21 +298,21 @@
 }
 
 // An update says on what it follows. One that follows on another term's number is not taken.
-TEST(CatchUp, AnUpdateOnAnotherTermsNumberIsNotTaken) {
+TEST(StateTransfer, AnUpdateOnAnotherTermsNumberIsNotTaken) {
   Fleet f(41);
   f.run(3000);
   ASSERT_EQ(f.submit("core0", "a", "", "1"), 200);
   auto view = f.at("core0").view();
-  Node& next = f.at(view.members[1].name);
+  Replica& next = f.at(view.members[1].id);
   const std::uint64_t k = next.state().last_sequence();
   auto up = [&](std::uint64_t term) {
     Json m{{"t", "up"},  {"n", view.number}, {"base", k},
            {"bt", term}, {"k", k + 1},       {"r", Json::array({Json::array({"b", k + 1, "1"})})}};
-    next.receive(f.net.now, view.head(), Json::parse(m.dump()));
+    receive_encoded(next, f.net.now, view.head(), Json::parse(m.dump()));
     return next.state().last_sequence();
   };
-  EXPECT_EQ(up(view.headed + 1), k);
-  EXPECT_EQ(up(view.headed), k + 1);
+  EXPECT_EQ(up(view.term + 1), k);
+  EXPECT_EQ(up(view.term), k + 1);
 }
 
 // Hundreds of changes, and in between cores killed, emptied, cut off and all killed at once, never more at a
@@ -340,8 +341,8 @@
                             : std::to_string(++serial) + std::string(std::size_t(f.net.pick(60)), 'v');
     k.known = false;
     f.at(host).submit(f.net.now, {{"key", key}, {"expect", k.acked}, {"value", value}},
-                      [&k, value](Answer a) {
-                        if (a.status == 200) k.acked = value, k.known = true;
+                      [&k, value](Status a) {
+                        if (a.is_ok()) k.acked = value, k.known = true;
                       });
   };
   for (int round = 0; round < 10; ++round) {
@@ -379,8 +380,8 @@
       // What is gone is forgotten at once, by each core for itself.
       for (auto& h : f.hosts)
         if (f.up(h) && f.net.chance(0.1)) {
-          f.at(h).trim(f.net.now, ~0ull);
-          f.at(h).trim(f.net.now + constants::kTrimAfterMs, ~0ull);
+          f.at(h).compact(f.net.now, ~0ull);
+          f.at(h).compact(f.net.now + constants::kTrimAfterMs, ~0ull);
         }
     }
   }
@@ -397,7 +398,7 @@
   std::size_t in_step = 0;
   std::optional<std::map<std::string, std::string>> all;
   for (auto& h : f.hosts) {
-    if (!f.at(h).in_step()) continue;
+    if (!f.at(h).in_sync()) continue;
     ++in_step;
     if (!all) all = live(h);
     EXPECT_EQ(live(h), *all) << h;
@@ -412,7 +413,7 @@
   }
 }
 
-TEST(CatchUp, AllHoldTheSameAfterHundredsOfChangesAndAnyMixOfTroubles) {
+TEST(StateTransfer, AllHoldTheSameAfterHundredsOfChangesAndAnyMixOfTroubles) {
   for (std::uint32_t seed = 1; seed <= seeds(500); ++seed) {
     SCOPED_TRACE(seed);
     mixed(seed);
--- a/tests/storage/stored_data_test.cc
+++ b/tests/storage/stored_data_test.cc
@@ -9,19 +9,22 @@
 #include "config/applied_changes.h"
 #include "config/cluster_state.h"
 #include "config/update_validation.h"
+#include "replication/encoded_messages.h"
 #include "replication/replica.h"
 #include "storage/store_recovery.h"
 
 namespace pebblespindle::test {
 namespace {
 
-struct SilentOutlet : replication::Outlet {
-  void send(const std::string&, const Json& message) override { sent.push_back(message); }
-  replication::Verdict judge(const StateTable& state, const Json& update) override {
+struct RecordingEnvironment : replication::Environment {
+  void send(const std::string&, const replication::Message& message) override {
+    sent.push_back(replication::encode(message));
+  }
+  replication::ValidationResult validate(const StateTable& state, const Json& update) override {
     return judge_update(state, update);
   }
-  void committed(std::uint64_t) override {}
-  void note(const std::string&) override {}
+  void on_committed() override {}
+  void log_event(const std::string&) override {}
   std::vector<Json> sent;
 };
 
@@ -31,7 +34,7 @@
 
   // Makes a database file of a dump and opens it as a core does.
   std::unique_ptr<SqliteStore> open(const std::string& dump) {
-    directory_ = testing::TempDir() + "stored-" + dump;
+    directory_ = testing::TempDir() + testing::UnitTest::GetInstance()->current_test_info()->name();
     std::filesystem::remove_all(directory_);
     std::filesystem::create_directories(directory_);
     std::ifstream file(std::string(PEBBLESPINDLE_TEST_DATA) + "/" + dump);
@@ -45,12 +48,12 @@
     EXPECT_TRUE(disk) << disk.status().message();
     return std::move(*disk);
   }
-  std::unique_ptr<replication::Node> start(SqliteStore& disk, const std::string& host) {
-    return std::make_unique<replication::Node>(
-        replication::Node::Start{host, {"10.1.0.4", "10.2.0.4", "10.3.0.4"}, false, 1, 99, 300}, disk,
-        outlet_, 1000);
+  std::unique_ptr<replication::Replica> start(SqliteStore& disk, const std::string& host) {
+    return std::make_unique<replication::Replica>(
+        replication::ReplicaOptions{host, {"10.1.0.4", "10.2.0.4", "10.3.0.4"}, false, 1, 99, 300}, disk,
+        environment_, 1000);
   }
-  SilentOutlet outlet_;
+  RecordingEnvironment environment_;
 
  private:
   std::string directory_;
@@ -60,19 +63,19 @@
   auto disk = open("stored_head.sql");
   auto node = start(*disk, "10.1.0.4");
   EXPECT_EQ(node->self(), "10.1.0.4");
-  EXPECT_EQ(node->view().json(), Json::parse(R"({"n": 4, "h": 1,
+  EXPECT_EQ(replication::encode_view(node->view()), Json::parse(R"({"n": 4, "h": 1,
     "m": [["10.1.0.4", 1], ["10.2.0.4", 1], ["10.3.0.4~2a8765a3", 3]],
     "v": ["10.1.0.4", "10.2.0.4", "10.3.0.4~2a8765a3"]})"));
   EXPECT_EQ(node->state().last_sequence(), 10u);
-  EXPECT_TRUE(node->in_step());
+  EXPECT_TRUE(node->in_sync());
   const Json durable = Json::parse(disk->metadata()["durable"]);
   // Written again, it says the same: nothing of it was left unread.
-  node->receive(1001, "10.2.0.4", {{"t", "prep"}, {"n", 5}, {"b", 32}});
+  receive_encoded(*node, 1001, "10.2.0.4", {{"t", "prep"}, {"n", 5}, {"b", 32}});
   Json expected = durable;
   expected["pi"] = 5;
   expected["pb"] = 32;
   EXPECT_EQ(Json::parse(disk->metadata()["durable"]), expected);
-  EXPECT_EQ(outlet_.sent.back(), Json::parse(R"({"t": "prom", "n": 5, "b": 32, "s": 4})"));
+  EXPECT_EQ(environment_.sent.back(), Json::parse(R"({"t": "prom", "n": 5, "b": 32, "s": 4})"));
 }
 
 TEST_F(StoredData, ConfigurationDatabasesAndLeadsAreRead) {
@@ -122,12 +125,12 @@
   auto node = start(*disk, "10.3.0.4");
   EXPECT_EQ(node->self(), "10.3.0.4~2a8765a3");
   EXPECT_EQ(node->view().number, 2u);
-  EXPECT_TRUE(node->taking());
-  EXPECT_EQ(node->taken(), 5u);
+  EXPECT_TRUE(node->is_receiving_state());
+  EXPECT_EQ(node->received_rows(), 5u);
   node->tick(1000);
-  const auto asked = std::find_if(outlet_.sent.begin(), outlet_.sent.end(),
+  const auto asked = std::find_if(environment_.sent.begin(), environment_.sent.end(),
                                   [](const Json& message) { return message["t"] == "have"; });
-  ASSERT_NE(asked, outlet_.sent.end());
+  ASSERT_NE(asked, environment_.sent.end());
   EXPECT_EQ((*asked)["st"],
             Json::parse(R"({"w": true, "e": false, "c": "i/i-c3", "b": 9, "bk": "", "k": 8, "kt": 1})"));
 }
