--- a/src/agent/agent.cc
+++ b/src/agent/agent.cc
@@ -2,19 +2,21 @@
 #include <csignal>
 #include <deque>
 
+#include "agent/constants.h"
 #include "agent/relay.h"
-#include "base/constants.h"
 #include "base/log.h"
 #include "cli/command_registry.h"
+#include "controller/constants.h"
+#include "membership/constants.h"
+#include "net/constants.h"
 #include "net/event_loop.h"
 #include "net/line_connection.h"
+#include "replication/timing.h"
 #include "settings/run_role.h"
 
 namespace pebblespindle {
 namespace {
 
-using namespace constants;
-
 class Agent : public Relay::Port {
  public:
   explicit Agent(Settings s) : settings_(std::move(s)), relay_(*this, settings_.node_name, settings_.zone) {
@@ -76,25 +78,25 @@
   void tick() {
     Millis now = loop_.now();
     if (ending_ && !pooler_) return loop_.stop();
-    if (core_ && now - heard_ > kCoreSearchMs) {
+    if (core_ && now - heard_ > kControllerTimeoutMs) {
       log_.say("Core " + core_host_ + " is silent.");
       drop_core();
     }
     // A renewal that gets no answer: others are asked while the link is kept.
-    bool waiting = core_ && asked_ > heard_ && now - asked_ > kCoreAnswerMs;
+    bool waiting = core_ && asked_ > heard_ && now - asked_ > kRenewalAnswerMs;
     if (!core_ || waiting) {
       if (now >= ask_next_at_) ask_next();
     } else if (core_zone_ != settings_.zone && now >= try_home_at_) {  // home again once it answers
-      try_home_at_ = now + kCoreSilentMs * 3;
+      try_home_at_ = now + replication::kPeerTimeoutMs * 3;
       for (auto& c : cores_)
         if (c.zone == settings_.zone && c.host != core_host_) ask(c.host);
     }
     if (core_ && !pooler_ && now >= next_renew_) {
-      next_renew_ = now + kNodeRenewMs;
+      next_renew_ = now + kNodeRenewalMs;
       relay_.renew_alone(now);
     }
     std::erase_if(asked_cores_, [&](auto& a) {
-      if (now - a.second.since < kCoreSearchMs) return false;
+      if (now - a.second.since < kControllerTimeoutMs) return false;
       if (a.second.conn) a.second.conn->close();
       return true;
     });
@@ -129,7 +131,7 @@
 
   // Asks one core after the other, a short while apart, whether it has a place; the first to say so is taken.
   void ask_next() {
-    ask_next_at_ = loop_.now() + kCoreAskStepMs;
+    ask_next_at_ = loop_.now() + kControllerQueryIntervalMs;
     std::size_t n = cores_.size();
     if (next_core_ == 0)
       for (auto& c : cores_)  // the one at home first
@@ -148,7 +150,7 @@
     if (asked_cores_.count(host)) return;
     asked_cores_[host].since = loop_.now();
     LineConnection::connect(
-        loop_.io(), {host, settings_.inner_first}, kCoreDialMs, kMaxLinkBytes,
+        loop_.io(), {host, settings_.inner_first}, kControllerConnectMs, kMaxLinkBytes,
         [this, host](LineConnection::Ptr conn, const asio::error_code&) {
           auto a = asked_cores_.find(host);
           if (!conn || a == asked_cores_.end() || a->second.conn) {
@@ -176,7 +178,7 @@
     if (!m.is_object() || m.value("t", "") != "cores") return;
     learn_cores(m["l"]);
     bool home = zone_of(host) == settings_.zone;
-    bool wanted = !core_ || (home && core_zone_ != settings_.zone) || loop_.now() - heard_ > kCoreAnswerMs;
+    bool wanted = !core_ || (home && core_zone_ != settings_.zone) || loop_.now() - heard_ > kRenewalAnswerMs;
     asked_cores_.erase(a);
     if (!m.value("ok", false) || !wanted) return conn->close();
     take_core(conn, host);
@@ -195,7 +197,7 @@
     core_zone_ = zone_of(host);
     next_core_ = 0;
     heard_ = loop_.now();
-    try_home_at_ = heard_ + kCoreSilentMs * 3;
+    try_home_at_ = heard_ + replication::kPeerTimeoutMs * 3;
     log_.say("Linked to core " + core_host_ + " in zone " + core_zone_ + ".");
     for (auto& [other, a] : asked_cores_)
       if (a.conn && core_zone_ == settings_.zone) a.conn->close();
--- a/src/cli/status_command.cc
+++ b/src/cli/status_command.cc
@@ -6,8 +6,8 @@
 #include <memory>
 #include <set>
 
-#include "base/constants.h"
 #include "cli/command_registry.h"
+#include "failover/constants.h"
 #include "net/http.h"
 
 namespace pebblespindle {
@@ -17,8 +17,8 @@
 Json ask_controller(const Endpoint& address, bool verbose) {
   asio::io_context io;
   HttpReply reply;
-  http_call(io, address, {"GET", verbose ? "/status/whole" : "/status", "", {}},
-            constants::kPlatformTimeoutMs, [&reply](HttpReply received) { reply = std::move(received); });
+  http_call(io, address, {"GET", verbose ? "/status/whole" : "/status", "", {}}, kPlatformTimeoutMs,
+            [&reply](HttpReply received) { reply = std::move(received); });
   io.run();
   Json status = Json::parse(reply.body, nullptr, false);
   return reply.status == 200 && status.is_object() ? status : Json();
--- a/src/config/applied_changes.cc
+++ b/src/config/applied_changes.cc
@@ -6,15 +6,14 @@
 #include <algorithm>
 #include <charconv>
 
-#include "base/constants.h"
+#include "config/constants.h"
 
 namespace pebblespindle {
 namespace {
 
-using constants::kTakenKept;
 
 std::string key_of(std::uint64_t place) {
-  return kTakenKey + "/" + std::to_string(place % kTakenKept);
+  return kTakenKey + "/" + std::to_string(place % kAppliedChangesKept);
 }
 
 // Three numbers and the digest, apart by blanks: a search reads some twenty rows.
@@ -77,7 +76,8 @@
   auto newest = read_row(state.find(key_of(0)));  // where this round of the ring began
   if (!newest) return std::nullopt;
   const std::uint64_t begin = newest->place;
-  std::uint64_t known = 0, beyond = kTakenKept;  // of this round; what follows is of the round before
+  std::uint64_t known = 0,
+                beyond = kAppliedChangesKept;  // of this round; what follows is of the round before
   while (beyond - known > 1) {
     const std::uint64_t middle = (known + beyond) / 2;
     if (auto t = taken_at(state, begin + middle))
@@ -90,7 +90,8 @@
 
 Fate fate_of(const StateTable& state, bool patch, std::uint64_t base, const std::string& body) {
   const auto newest = newest_taken(state);
-  std::uint64_t low = newest && newest->place >= kTakenKept ? newest->place - kTakenKept + 1 : 0;
+  std::uint64_t low =
+      newest && newest->place >= kAppliedChangesKept ? newest->place - kAppliedChangesKept + 1 : 0;
   const std::uint64_t oldest = low;
   for (std::uint64_t high = newest ? newest->place + 1 : 0; low < high;) {
     const std::uint64_t middle = (low + high) / 2;
@@ -118,7 +119,7 @@
   std::vector<Row> rows{
       {key_of(place), text_of({place, base, revision, digest_of(patch, base, body)}), 0, false}};
   // The ring begins to forget: what is older than it goes first.
-  if (place >= kTakenKept && state.find(kTakenKey)) rows.push_back({kTakenKey, {}, 0, true});
+  if (place >= kAppliedChangesKept && state.find(kTakenKey)) rows.push_back({kTakenKey, {}, 0, true});
   return rows;
 }
 
--- a/src/config/applied_changes.h
+++ b/src/config/applied_changes.h
@@ -1,11 +1,12 @@
-// Which changes of the configuration were taken: a ring of rows in the state, the newest kTakenKept changes.
-// Each version has one successor, so a row is found by the version that its change builds on; versions rise,
-// so the rows of the ring are in order and a search halves them. A new row takes the place of the oldest: one
-// row is written a change, and none is ever removed.
+// Which changes of the configuration were taken: a ring of rows in the state, the newest kAppliedChangesKept
+// changes. Each version has one successor, so a row is found by the version that its change builds on;
+// versions rise, so the rows of the ring are in order and a search halves them. A new row takes the place of
+// the oldest: one row is written a change, and none is ever removed.
 #pragma once
 #include <optional>
 #include <string>
 
+#include "config/constants.h"
 #include "storage/state_table.h"
 
 namespace pebblespindle {
--- a/src/config/config_delivery.cc
+++ b/src/config/config_delivery.cc
@@ -1,6 +1,6 @@
 #include "config/config_delivery.h"
 
-#include "base/constants.h"
+#include "config/constants.h"
 #include "config/update_validation.h"
 
 namespace pebblespindle {
@@ -15,7 +15,7 @@
                      const Send& send) {
   for (;;) {
     // Bulk goes in pieces, and the next one only as a node takes them: leases are not held up behind it.
-    while (feeding_ && next_ < feeding_->size() && next_ < taken_ + constants::kPiecesAhead)
+    while (feeding_ && next_ < feeding_->size() && next_ < taken_ + kFeedChunksAhead)
       send((*feeding_)[next_++]);
     if (feeding_ && feeding_->size() > 1 && taken_ < feeding_->size()) return;
     feeding_ = nullptr;
--- a/src/config/update_validation.cc
+++ b/src/config/update_validation.cc
@@ -1,7 +1,7 @@
 #include "config/update_validation.h"
 
-#include "base/constants.h"
 #include "config/applied_changes.h"
+#include "config/constants.h"
 
 namespace pebblespindle {
 namespace {
@@ -126,12 +126,12 @@
 
 std::vector<std::string> feed_lines(std::uint64_t from, std::uint64_t to, const std::vector<Row>& rows) {
   std::vector<Json> pieces;
-  std::size_t size = constants::kPieceBytes;
+  std::size_t size = kFeedChunkBytes;
   for (auto& r : rows) {
     // The body as sent and the record of those taken are for the cores; a whole state does not name what is
     // gone.
     if (r.key == kConfigKey || r.key.starts_with(kTakenKey) || (from == 0 && r.deleted)) continue;
-    if (size >= constants::kPieceBytes) pieces.push_back(Json::array()), size = 0;
+    if (size >= kFeedChunkBytes) pieces.push_back(Json::array()), size = 0;
     Json row = Json::array({r.key, r.sequence});
     if (!r.deleted) row.push_back(r.value);
     pieces.back().push_back(std::move(row));
--- /dev/null
+++ b/src/controller/constants.h
@@ -0,0 +1,24 @@
+// Bounds and time-outs of the controller process. Each line above a constant says its unit and the reason for
+// its value.
+#pragma once
+#include <cstddef>
+#include <cstdint>
+
+#include "base/types.h"
+
+namespace pebblespindle {
+
+// Bytes; two of the longest messages wait for a core that reads nothing; then the link starts anew
+constexpr std::size_t kMaxPeerQueueBytes = 16 << 20;
+// ms; a core that just starts drops the opening packet: dial anew, don't wait for seconds
+constexpr Millis kControllerConnectMs = 250;
+// ms; the first configuration waits this long for all voters: inside the operator's patience
+constexpr Millis kInitialVotersWaitMs = 4000;
+// Sentences a core keeps for status: some minutes of trouble
+constexpr std::size_t kMaxEvents = 60;
+// ms; a core that ends waits this long for its successor: half of the usual grace period
+constexpr Millis kHandOverTimeoutMs = 3000;
+// ms; a database that turned a connection away is spared this long: one refusal a minute tells
+constexpr Millis kConnectionLimitTtlMs = 60000;
+
+}  // namespace pebblespindle
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -5,14 +5,19 @@
 #include <random>
 #include <thread>
 
-#include "base/constants.h"
+#include "base/clock.h"
 #include "cli/command_registry.h"
 #include "config/update_validation.h"
+#include "controller/constants.h"
+#include "failover/constants.h"
+#include "membership/constants.h"
+#include "net/constants.h"
+#include "quota/constants.h"
 #include "replication/codec.h"
+#include "replication/timing.h"
 #include "settings/run_role.h"
 
 namespace pebblespindle {
-using namespace constants;
 
 replication::ValidationResult Controller::judge_update(const StateTable& state, const Json& update) {
   return pebblespindle::judge_update(state, update);
@@ -73,7 +78,7 @@
 void Controller::note(const std::string& sentence) {
   log_.say(sentence);
   events_.push_back({loop_.now(), sentence});
-  if (events_.size() > kEventsKept) events_.pop_front();
+  if (events_.size() > kMaxEvents) events_.pop_front();
 }
 
 int Controller::run() {
@@ -109,7 +114,7 @@
     for (auto& seed : s->seeds) replica_->add_host(seed.host);
   });
   log_.say("Core " + settings_.node_name + " serves at " + at->second.text() + ".");
-  loop_.every(kCoreBeatMs / 5, [this] { tick(); });
+  loop_.every(replication::kHeartbeatMs / 5, [this] { tick(); });
   loop_.run();
   return 0;
 }
@@ -120,7 +125,7 @@
   if (replica_->is_leaving()) return;
   Millis now = loop_.now();
   replica_->begin_leaving(now);
-  part_by_ = now + std::min(kHandOverMs, settings_.grace_ms / 2);
+  part_by_ = now + std::min(kHandOverTimeoutMs, settings_.grace_ms / 2);
   const std::string away = Json{{"t", "away"}, {"l", core_list()}}.dump() + "\n";
   for (auto& [t, core] : agents_)
     if (!core && t->delivery.greeted()) t->conn->send(away);
@@ -147,7 +152,7 @@
   }
   last_tick_ = now;
   node_leases_.expire(now);
-  std::erase_if(tight_, [now](auto& t) { return now >= t.second + kTightMs; });
+  std::erase_if(tight_, [now](auto& t) { return now >= t.second + kConnectionLimitTtlMs; });
   outlier_detector_.expire(now);
   bool holds = replica_->is_leader(now);
   if (holds != held_duty_) {
@@ -196,14 +201,14 @@
   p.dialling = true;
   p.dial_at = loop_.now() + kReconnectMs;
   LineConnection::connect(
-      loop_.io(), {host, settings_.inner_first}, kCoreDialMs, kMaxLinkBytes,
+      loop_.io(), {host, settings_.inner_first}, kControllerConnectMs, kMaxLinkBytes,
       [this, host](LineConnection::Ptr conn, const asio::error_code&) {
         auto& peer = peers_[host];
         peer.dialling = false;
         if (!conn) return;
         if (peer.conn) return conn->close();
         peer.conn = conn;
-        set_silence_limit(conn->socket(), kCoreSilentMs * 3);
+        set_silence_limit(conn->socket(), replication::kPeerTimeoutMs * 3);
         conn->start({[](std::string_view) {},
                      [this, host, conn](LineConnection::End) {
                        if (peers_[host].conn == conn) peers_[host].conn = nullptr;
@@ -227,7 +232,7 @@
 }
 
 void Controller::accept_inner(asio::ip::tcp::socket socket) {
-  set_silence_limit(socket, kCoreSilentMs * 3);
+  set_silence_limit(socket, replication::kPeerTimeoutMs * 3);
   auto t = std::make_shared<Agent>();
   t->conn = std::make_shared<LineConnection>(std::move(socket), kMaxLinkBytes);
   agents_[t] = false;
@@ -312,7 +317,7 @@
   Millis now = loop_.now();
   std::size_t n = node_leases_.count(now);
   for (auto& [name, p] : peers_)
-    if (now - p.told < 3 * kCoreSilentMs) n += p.nodes;
+    if (now - p.told < 3 * replication::kPeerTimeoutMs) n += p.nodes;
   return n;
 }
 
@@ -370,7 +375,7 @@
                         .dump() +
                     "\n");
     }
-    if (!grant && now > seated_at_ + 2 * kNodeRenewMs) {
+    if (!grant && now > seated_at_ + 2 * kNodeRenewalMs) {
       // Nothing is to be had here for now: the node turns to another core.
       t->conn->send(Json{{"t", "away"}, {"l", core_list()}}.dump() + "\n");
       return;
@@ -440,7 +445,7 @@
   Millis now = loop_.now();
   if (!cluster_.instance(id)) return;
   auto [it, fresh] = tight_.emplace(id, now);
-  if (!fresh && now < it->second + kTightMs / 2) {
+  if (!fresh && now < it->second + kConnectionLimitTtlMs / 2) {
     if (teller) teller->conn->send(Json{{"t", "tight"}, {"id", id.value}}.dump() + "\n");
     return;
   }
@@ -474,7 +479,7 @@
   cluster_.follow(replica_->state());
   bool holding =
       std::any_of(cluster_.leads().begin(), cluster_.leads().end(), [](auto& l) { return l.second.hold; });
-  bool due = always || now >= told_at_ + kCoreSilentMs || nodes != told_nodes_ ||
+  bool due = always || now >= told_at_ + replication::kPeerTimeoutMs || nodes != told_nodes_ ||
              told_view_ != replica_->view().number || (holding && acked != told_acked_);
   if (!due) return;
   told_at_ = now;
@@ -487,7 +492,7 @@
 bool Controller::all_acknowledged(std::uint64_t number) const {
   Millis now = loop_.now();
   // A core put out lately may have granted leases that still run.
-  if (now < replica_->member_removed_at() + kNodeLeaseMs + kDriftMarginMs) return false;
+  if (now < replica_->member_removed_at() + kNodeLeaseMs + kClockDriftMarginMs) return false;
   if (node_leases_.acknowledged(now, replica_->state().last_sequence()) < number) return false;
   for (auto& m : replica_->view().members) {
     if (m.id == replica_->self()) continue;
@@ -537,7 +542,8 @@
     return done(plain(400, wrong));
   }
   // What is acknowledged must bear the losses asked for: the first one waits until the voters are complete.
-  if (!replica_->state().find(kConfigKey) && !replica_->has_all_voters() && loop_.now() < born_ + kGrowWaitMs)
+  if (!replica_->state().find(kConfigKey) && !replica_->has_all_voters() &&
+      loop_.now() < born_ + kInitialVotersWaitMs)
     return done(plain(503, "the core is still growing"));
   const std::string what =
       patch ? "A change of " + std::to_string(base) : "Configuration " + std::to_string(revision);
@@ -562,7 +568,7 @@
     auto disk = open_store(settings.data_directory, note);
     if (!disk) log.say("The disk cannot be used: " + disk.status().message() + ". It is tried again.");
     while (!disk) {  // full or stalled disks come back; until then there is nothing to serve
-      std::this_thread::sleep_for(std::chrono::milliseconds(kDiskRetryMs));
+      std::this_thread::sleep_for(std::chrono::milliseconds(replication::kDiskRetryMs));
       disk = open_store(settings.data_directory, note);
     }
     return Controller(std::move(settings), std::move(*disk)).run();
--- a/src/controller/database_client.cc
+++ b/src/controller/database_client.cc
@@ -1,9 +1,9 @@
 #include "controller/database_client.h"
 
-#include "base/constants.h"
+#include "failover/constants.h"
+#include "net/constants.h"
 
 namespace pebblespindle {
-using namespace constants;
 using failover::DbReply;
 
 void DatabaseClient::ask(const Instance& to, const std::string& statement,
--- /dev/null
+++ b/src/failover/constants.h
@@ -0,0 +1,44 @@
+// Time-outs and thresholds of failovers. Each line above a constant says its unit and the reason for its
+// value.
+#pragma once
+#include <cstddef>
+#include <cstdint>
+
+#include "base/types.h"
+
+namespace pebblespindle {
+
+// ms; many round trips: silence here is one vote that it is dark
+constexpr Millis kInfoTimeoutMs = 400;
+// ms; the platform may be slow; then ask the database itself
+constexpr Millis kPlatformTimeoutMs = 1000;
+// ms; without a beat of the new primary, ask it by INFO
+constexpr Millis kPromoteCheckMs = 1500;
+// ms; pause before another call after 409, 429 or silence
+constexpr Millis kPromoteRetryMs = 250;
+// ms; pause before an unfinished switch is taken up again
+constexpr Millis kFailoverRetryMs = 400;
+// Nodes that missed one answer each; fewer may all have met a bad link
+constexpr std::size_t kMinNodesMissingOnce = 4;
+// ms; an answered INFO clears suspicion for this long
+constexpr Millis kSuspectQuietMs = 1500;
+// ms; reports older than this no longer count
+constexpr Millis kSuspectWindowMs = 3000;
+// ms; one that has told of its end is asked until it is found gone, this long at most
+constexpr Millis kDepartedDatabaseMs = 10000;
+// ms; found gone this soon after it left, its log unknown: a crashed primary is back in that time
+constexpr Millis kDepartedUnqueriedMs = 3000;
+// ms; a statement that was given up has arrived by then, or never; inside the rest of an idle line
+constexpr Millis kLateStatementMs = 2500;
+// Refusals in a row: ended; a single one may be a connection's reset
+constexpr int kRefusalsUntilGone = 2;
+// Tries to learn where a leaving primary stands; then the replicas alone count
+constexpr int kMaxUnknownPositionAttempts = 3;
+// ms; a report counts this long: two windows and the way
+constexpr Millis kSlowReportTtlMs = 1200;
+// ms; half of the nodes agree this long: more than one stall
+constexpr Millis kSlowAgreementMs = 700;
+// ms; a service's lead moves for slowness no more often
+constexpr Millis kSlowHandOverIntervalMs = 15000;
+
+}  // namespace pebblespindle
--- a/src/failover/failover.cc
+++ b/src/failover/failover.cc
@@ -2,11 +2,12 @@
 
 #include <algorithm>
 
-#include "base/constants.h"
+#include "base/clock.h"
 #include "config/update_validation.h"
+#include "failover/constants.h"
+#include "membership/constants.h"
 
 namespace pebblespindle::failover {
-using namespace constants;
 
 const ClusterState& Failover::cluster() {
   if (!cluster_.follow(state_)) return cluster_;
@@ -31,7 +32,7 @@
   auto out = members(service);
   auto l = lead(service);
   std::erase_if(departed_, [&](auto& d) {
-    return now_ > d.since + kDepartedMs || (d.gone() && now_ > d.since + kUnaskedMs);
+    return now_ > d.since + kDepartedDatabaseMs || (d.gone() && now_ > d.since + kDepartedUnqueriedMs);
   });
   for (auto& d : departed_) {
     if (d.instance.service != service) continue;
@@ -57,7 +58,7 @@
     if (row && !r->second.info.primary) job.logs[i.id] = std::max(job.logs[i.id], r->second.info.received);
     if (Departed* d = departed(i.id)) {
       if (r->second.error.starts_with("WRONGNODE"))
-        d->refusals = kEndedRefusals;
+        d->refusals = kRefusalsUntilGone;
       else if (r->second.kind == DbReply::Kind::kRefused)
         ++d->refusals;
       else
@@ -94,7 +95,7 @@
 
 void Failover::again(Millis now, Job& job) {
   go(job, Step::kHolding);
-  job.retry_at = now + kSwitchRetryMs;
+  job.retry_at = now + kFailoverRetryMs;
 }
 
 void Failover::suspect(Millis now, const InstanceId& id, const std::string& zone, const std::string& node,
@@ -117,24 +118,24 @@
 bool Failover::found_slow(const std::string& service, const InstanceId& id) {
   auto r = reports_.find(id);
   if (r == reports_.end()) return false;
-  std::erase_if(r->second.slow, [&](auto& n) { return n.second.second < now_ - kSlowReportMs; });
+  std::erase_if(r->second.slow, [&](auto& n) { return n.second.second < now_ - kSlowReportTtlMs; });
   std::set<std::string> zones;
   for (auto& [node, report] : r->second.slow) zones.insert(report.first);
   auto last = handed_over_.find(service);
-  if (last != handed_over_.end() && now_ < last->second + kHandoverPauseMs) return false;
+  if (last != handed_over_.end() && now_ < last->second + kSlowHandOverIntervalMs) return false;
   if (zones.size() < 2 || 2 * r->second.slow.size() < out_.members()) {
     r->second.agreed_since = -1;
     return false;
   }
   if (r->second.agreed_since < 0) r->second.agreed_since = now_;
-  return now_ >= r->second.agreed_since + kSlowLastsMs;  // a stall passes by itself
+  return now_ >= r->second.agreed_since + kSlowAgreementMs;  // a stall passes by itself
 }
 
 std::size_t Failover::zones_missing(const InstanceId& id) {
   auto& r = reports_[id];
   std::erase_if(r.nodes, [&](auto& n) { return n.second.at < now_ - kSuspectWindowMs; });
   // One missed answer of one node says little; of several nodes, as much as several of one.
-  bool many = r.nodes.size() >= kFewNodes;
+  bool many = r.nodes.size() >= kMinNodesMissingOnce;
   std::set<std::string> zones;
   for (auto& [node, miss] : r.nodes)
     if (many || !miss.once) zones.insert(miss.zone);
@@ -187,7 +188,7 @@
           std::any_of(all.begin(), all.end(), [&](auto* i) { return i->id != l->primary && !i->draining; });
       // One that has told of its end and still runs tells what it has committed.
       Departed* left = primary ? nullptr : departed(l->primary);
-      bool runs = left && !left->gone() && now <= left->since + kDepartedMs;
+      bool runs = left && !left->gone() && now <= left->since + kDepartedDatabaseMs;
       if (runs && !successor) return;
       if (!primary && other) return begin(now, service, *l, runs, "the primary has left");
       if (!primary) return;
@@ -232,7 +233,7 @@
     case Step::kHolding: {
       if (now < job.retry_at) return;
       // Whoever gives leases had stored the suspension when it was committed: older leases have ended by now.
-      bool expired = now >= job.held_since + kNodeLeaseMs + 2 * kDriftMarginMs;
+      bool expired = now >= job.held_since + kNodeLeaseMs + 2 * kClockDriftMarginMs;
       if (!expired && !out_.all_acknowledged(job.held_number)) return;
       return survey(now, service, job);
     }
@@ -267,7 +268,7 @@
     if (j.step != Step::kAsking || j.round != round) return;
     auto current = lead(service);
     if (!current || !current->hold) {
-      j.retry_at = now_ + kSwitchRetryMs;
+      j.retry_at = now_ + kFailoverRetryMs;
       return go(j, Step::kIdle);
     }
     j.held_number = state_.find(lead_key(service))->sequence;
@@ -298,7 +299,7 @@
   if (!l) return;
   // A primary that is said to be alive is waited for: what it has committed must not be left behind. One that
   // may be dead is asked as well, but not waited for: what it has acknowledged is on the replicas.
-  bool wait = l->planned && !job.called && job.blind < kBlindTries;
+  bool wait = l->planned && !job.called && job.blind < kMaxUnknownPositionAttempts;
   job.committed = {};  // what a primary told that has died since leaves out what others have received
   auto whom = receivers(service, job);
   if (wait) std::erase_if(whom, [&](auto& i) { return i.id != l->primary && !instance(i.id); });
@@ -348,7 +349,8 @@
     return announce(now, service, job, leader, leader_term);
   if (newest == 0) return again(now, job);  // nobody told a term
   bool alive = job.alive = old_term > 0;
-  if (!alive && l->planned && !job.called && ++job.blind < kBlindTries) return again(now, job);
+  if (!alive && l->planned && !job.called && ++job.blind < kMaxUnknownPositionAttempts)
+    return again(now, job);
   if (alive && !l->planned && !job.called) return abandon(now, service, job);
   auto old = job.replies.find(l->primary);
   job.follows = old != job.replies.end() && old->second.kind == DbReply::Kind::kRow && !alive;
@@ -387,7 +389,7 @@
     // One that has told of its end, and has ended. Where its log was never learnt, the primary may be back
     // before long, and knows what was committed.
     Departed* d = departed(i.id);
-    if (d && d->gone() && (job.logs.count(i.id) || now > d->since + kUnaskedMs)) continue;
+    if (d && d->gone() && (job.logs.count(i.id) || now > d->since + kDepartedUnqueriedMs)) continue;
     if (r == job.replies.end() || r->second.kind != DbReply::Kind::kRow) {
       missing = true;
       const char* how[] = {"a row", "an error", "a refusal", "silence"};
@@ -416,7 +418,7 @@
     if (!job.alive) return again(now, job);
     // Where the others don't take it from there, because they know of a promote whose lead has ended since,
     // the former primary follows as well, and is the furthest.
-    if (++job.unheard > kBlindTries) {
+    if (++job.unheard > kMaxUnknownPositionAttempts) {
       ++job.round;
       return ask_all(service, job, {*former}, "STEPDOWN " + std::to_string(job.term + 1),
                      [this, service] { again(now_, jobs_[service]); });
@@ -537,11 +539,11 @@
     const Row* row = state_.find(lead_key(service));
     Lead next = *l;
     next.release = false;
-    r.retry_at = now + kSwitchRetryMs;
+    r.retry_at = now + kFailoverRetryMs;
     return out_.submit(lead_update(service, row->value, next), [](Status) {});
   }
   r.awaited = whom.size();
-  r.retry_at = now + kSwitchRetryMs * Millis(std::min<std::size_t>(++r.tries, 5));
+  r.retry_at = now + kFailoverRetryMs * Millis(std::min<std::size_t>(++r.tries, 5));
   std::uint64_t serial = r.serial = ++last_release_;
   for (auto& i : whom) {
     auto done = [this, service, serial, id = i.id](DbReply reply) {
@@ -552,7 +554,7 @@
       // the reset of a connection.
       auto& refusals = it->second.refusals[id];
       refusals = reply.kind == DbReply::Kind::kRefused ? refusals + 1 : 0;
-      if (reply.kind == DbReply::Kind::kRow || refusals >= kEndedRefusals) it->second.done.insert(id);
+      if (reply.kind == DbReply::Kind::kRow || refusals >= kRefusalsUntilGone) it->second.done.insert(id);
     };
     if (!i.primary) {
       out_.ask(i, "CONTINUE", done);
@@ -587,7 +589,7 @@
     auto current = lead(service);
     if (!current || current->hold) return again(now_, j);
     j = Job{};
-    j.retry_at = now_ + kSwitchRetryMs;
+    j.retry_at = now_ + kFailoverRetryMs;
   });
   (void)now;
 }
--- a/src/failover/failover.h
+++ b/src/failover/failover.h
@@ -4,8 +4,8 @@
 #include <map>
 #include <set>
 
-#include "base/constants.h"
 #include "config/cluster_state.h"
+#include "failover/constants.h"
 #include "replication/replica.h"
 #include "sql_protocol/sql_protocol.h"
 
@@ -110,7 +110,7 @@
     Instance instance;
     Millis since = 0;
     int refusals = 0;  // in a row
-    bool gone() const { return refusals >= constants::kEndedRefusals; }
+    bool gone() const { return refusals >= kRefusalsUntilGone; }
   };
   Departed* departed(const InstanceId& id);
   void note_departing(const std::string& service, Job& job);
--- a/src/health/outlier_detector.cc
+++ b/src/health/outlier_detector.cc
@@ -2,10 +2,9 @@
 
 #include <algorithm>
 
-#include "base/constants.h"
+#include "health/constants.h"
 
 namespace pebblespindle {
-using namespace constants;
 
 namespace {
 
@@ -18,7 +17,7 @@
   if (!row.is_array() || row.size() != counts + 1 || !row[0].is_string()) return false;
   for (std::size_t i = 1; i <= counts; ++i)
     if (!row[i].is_number_integer() || row[i].get<std::int64_t>() < 0 ||
-        row[i].get<std::int64_t>() > kMostInWindow)
+        row[i].get<std::int64_t>() > kMaxCountInWindow)
       return false;
   return true;
 }
@@ -71,11 +70,12 @@
     slow += !x.closed && x.bad == 0;  // told of for its delay alone
   }
   // Nodes that met no failure say nothing: of few requests, most must have failed.
-  std::int64_t least = all.asked >= kSightSure ? 25 : 75;
-  bool fails = s.nodes.size() >= 2 && all.bad >= kSightBad && percent(all.bad, all.asked) >= least;
+  std::int64_t least = all.asked >= kMinRequestsForShare ? 25 : 75;
+  bool fails = s.nodes.size() >= 2 && all.bad >= kMinFailures && percent(all.bad, all.asked) >= least;
   // Each node alone meets too little to know it: what they know together goes back to them.
-  bool thin = s.nodes.size() >= kAvoidNodes && percent(all.bad, all.asked) >= least;
-  if (avoid_ && (fails || thin || closed >= 2) && (s.avoided_at < 0 || now >= s.avoided_at + kSightMs / 2)) {
+  bool thin = s.nodes.size() >= kMinNodesForEjection && percent(all.bad, all.asked) >= least;
+  if (avoid_ && (fails || thin || closed >= 2) &&
+      (s.avoided_at < 0 || now >= s.avoided_at + kHealthWindowMs / 2)) {
     s.avoided_at = now;
     avoid_(key.first, key.second);
   }
@@ -91,7 +91,7 @@
   for (auto* table : {&databases_, &routes_})
     for (auto it = table->begin(); it != table->end();) {
       auto& [key, s] = *it;
-      std::erase_if(s.nodes, [&](auto& n) { return now > n.second.at + kSightLastsMs; });
+      std::erase_if(s.nodes, [&](auto& n) { return now > n.second.at + kHealthReportTtlMs; });
       if (s.nodes.empty() && s.told)
         note_("Database " + key.first + " serves the nodes of " + key.second + " again.");
       it = s.nodes.empty() ? table->erase(it) : std::next(it);
--- a/src/membership/node_leases.cc
+++ b/src/membership/node_leases.cc
@@ -2,17 +2,17 @@
 
 #include <algorithm>
 
-#include "base/constants.h"
+#include "base/clock.h"
+#include "membership/constants.h"
 
 namespace pebblespindle {
-using namespace constants;
 
 void NodeLeases::renew(Millis now, const std::string& node, const std::string& zone, std::uint64_t acked,
                        bool granted) {
   auto& e = nodes_[node];
   e.zone = zone;
   e.acked = acked;  // a restarted node starts again from what it holds now
-  if (granted) e.until = now + kNodeLeaseMs + kDriftMarginMs;
+  if (granted) e.until = now + kNodeLeaseMs + kClockDriftMarginMs;
 }
 
 void NodeLeases::expire(Millis now) {
@@ -20,7 +20,7 @@
 }
 
 std::uint64_t NodeLeases::acknowledged(Millis now, std::uint64_t all) const {
-  if (now < born_ + kNodeLeaseMs + kDriftMarginMs) return 0;
+  if (now < born_ + kNodeLeaseMs + kClockDriftMarginMs) return 0;
   std::uint64_t least = all;
   for (auto& [name, e] : nodes_)
     if (e.until > now) least = std::min(least, e.acked);
--- a/src/membership/position_cache.h
+++ b/src/membership/position_cache.h
@@ -12,13 +12,15 @@
 //    R has passed by then, so the position was asked for at R - age or later by the clock of the one that
 //    wants it.
 // Delay, loss and reordering only make what is handed on older. Steady clocks run alike within the margin
-// that every read keeps (kFreshMarginMs); a core's stamps die with its process (its life is named with each).
+// that every read keeps (kFreshnessMarginMs); a core's stamps die with its process (its life is named with
+// each).
 #pragma once
 #include <map>
 #include <string>
 
-#include "base/constants.h"
 #include "base/types.h"
+#include "membership/constants.h"
+#include "pooler/constants.h"
 
 namespace pebblespindle {
 
@@ -40,7 +42,7 @@
     auto d = depths_.find(service);
     if (d == depths_.end()) return std::nullopt;
     Millis age = now + 1 - d->second.stamp;  // clocks are cut to whole milliseconds
-    if (age > constants::kObservationKeepMs) return std::nullopt;
+    if (age > kMaxPositionAgeMs) return std::nullopt;
     return Depth{d->second.position, age};
   }
 
--- a/src/net/http.cc
+++ b/src/net/http.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "base/constants.h"
+#include "net/constants.h"
 #include "net/http_reader.h"
 
 namespace pebblespindle {
@@ -46,7 +46,7 @@
   void read() {
     socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](const asio::error_code& ec) {
       if (ec) return;
-      static char chunk[constants::kReadChunkBytes];
+      static char chunk[kReadChunkBytes];
       asio::error_code e;
       std::size_t n = self->socket_.read_some(asio::buffer(chunk), e);
       if (e) return;
@@ -92,7 +92,7 @@
   }
   tcp::socket socket_;
   std::shared_ptr<HttpHandler> handler_;
-  HttpReader in_{HttpReader::Kind::kRequests, constants::kMaxHttpHeaderBytes, constants::kMaxHttpBodyBytes};
+  HttpReader in_{HttpReader::Kind::kRequests, kMaxHttpHeaderBytes, kMaxHttpBodyBytes};
   std::string pending_;
   bool close_ = false, due_ = false;
 };
@@ -102,7 +102,7 @@
   tcp::socket socket;
   asio::steady_timer timer;
   std::string out;
-  HttpReader in{HttpReader::Kind::kResponses, constants::kMaxHttpHeaderBytes, constants::kMaxHttpBodyBytes};
+  HttpReader in{HttpReader::Kind::kResponses, kMaxHttpHeaderBytes, kMaxHttpBodyBytes};
   std::function<void(HttpReply)> done;
   char chunk[1024];
 
--- a/src/net/line_connection.cc
+++ b/src/net/line_connection.cc
@@ -2,7 +2,7 @@
 
 #include <netinet/tcp.h>
 
-#include "base/constants.h"
+#include "net/constants.h"
 
 namespace pebblespindle {
 
@@ -66,7 +66,7 @@
 }
 
 void LineConnection::on_readable() {
-  static char chunk[constants::kReadChunkBytes];
+  static char chunk[kReadChunkBytes];
   asio::error_code ec;
   std::size_t n = socket_.read_some(asio::buffer(chunk), ec);
   if (ec == asio::error::would_block || ec == asio::error::try_again) return wait_read();
@@ -224,7 +224,7 @@
   acceptor_.async_accept([this](const asio::error_code& ec, tcp::socket socket) {
     if (ec == asio::error::operation_aborted) return;
     if (ec) {  // out of descriptors or the like: pause, then go on
-      retry_.expires_after(std::chrono::milliseconds(constants::kReconnectMs));
+      retry_.expires_after(std::chrono::milliseconds(kReconnectMs));
       retry_.async_wait([this](const asio::error_code& e) {
         if (!e) accept();
       });
--- a/src/pooler/control_feed.cc
+++ b/src/pooler/control_feed.cc
@@ -1,10 +1,11 @@
 #include "pooler/control_feed.h"
 
-#include "base/constants.h"
+#include "base/clock.h"
 #include "base/json_fields.h"
+#include "membership/constants.h"
+#include "pooler/constants.h"
 
 namespace pebblespindle::pooler {
-using namespace constants;
 
 bool News::hear(Millis now, std::string_view line) {
   Json m = Json::parse(line, nullptr, false);
@@ -25,7 +26,7 @@
   } else if (t == "paid") {
     core_ = field<std::string>(m, "from", "");
     const auto sum = field<quota::Rights>(m, "sum", -1);
-    if (sum <= kMostTold) engine_.paid(field<std::string>(m, "s", ""), core_, sum);
+    if (sum <= kMaxReportedValue) engine_.paid(field<std::string>(m, "s", ""), core_, sum);
   } else if (t == "grant") {
     grant(now, m);
   }
@@ -38,16 +39,16 @@
   const Millis at = field<Millis>(m, "at", -1), ms = field<Millis>(m, "ms", 0);
   const Millis clock = field<Millis>(m, "c", 0);
   if (!asked_here(now, at)) return;
-  if (clock >= 0 && clock <= kMostTold) engine_.hear_clock(number(m, "life"), clock);
-  engine_.lease(at + std::clamp<Millis>(ms, 0, kNodeLeaseMs) - kDriftMarginMs, number(m, "k"),
-                std::size_t(std::min<std::uint64_t>(number(m, "n"), kMaxMembers)));
+  if (clock >= 0 && clock <= kMaxReportedValue) engine_.hear_clock(number(m, "life"), clock);
+  engine_.lease(at + std::clamp<Millis>(ms, 0, kNodeLeaseMs) - kClockDriftMarginMs, number(m, "k"),
+                std::size_t(std::min<std::uint64_t>(number(m, "n"), kMaxNodes)));
 }
 
 void News::depth(Millis now, const Json& m) {
   const Millis at = field<Millis>(m, "at", -1), age = field<Millis>(m, "age", -1);
   auto p = Position::parse(field<std::string>(m, "p", ""));
   if (!asked_here(now, at)) return;
-  if (age < 0 || age > kObservationKeepMs)
+  if (age < 0 || age > kMaxPositionAgeMs)
     p.reset();  // it is told without one, or with none that could be used
   engine_.position_asked(field<std::string>(m, "s", ""), p ? at - age : at, p);
 }
--- a/src/pooler/engine.cc
+++ b/src/pooler/engine.cc
@@ -3,8 +3,11 @@
 
 #include <algorithm>
 
+#include "membership/constants.h"
+#include "net/constants.h"
+#include "pooler/constants.h"
+
 namespace pebblespindle::pooler {
-using namespace constants;
 using sql_protocol::Verb;
 
 Engine::Session* Engine::find(SessionId id) {
@@ -40,13 +43,14 @@
     // Just started: which databases there are is not known yet, or no primary may be asked.
     unfed_.push_back(id);
     s->greeted = s->busy = true;
-    s->rest = timers_.at(now_ + kFirstFeedMs, [this, id] {
+    s->rest = timers_.at(now_ + kInitialFeedWaitMs, [this, id] {
       Session* x = find(id);
       if (!x) return;
       x->rest = 0;
       if (cluster_.fed()) return greet(id);
-      port_.to_client(id, sql_protocol::error("THROTTLED", "retry-after-ms=" + std::to_string(kFirstFeedMs) +
-                                                               " this node has just started"));
+      port_.to_client(
+          id, sql_protocol::error("THROTTLED", "retry-after-ms=" + std::to_string(kInitialFeedWaitMs) +
+                                                   " this node has just started"));
       drop(id);
     });
     return;
@@ -72,7 +76,7 @@
   if (!known) {
     port_.to_client(
         id, leased() ? sql_protocol::error("DENIED", "the key is not known")
-                     : sql_protocol::error("THROTTLED", "retry-after-ms=" + std::to_string(kNodeRenewMs) +
+                     : sql_protocol::error("THROTTLED", "retry-after-ms=" + std::to_string(kNodeRenewalMs) +
                                                             " this node has no news"));
     return drop(id);
   }
@@ -96,7 +100,7 @@
 // node cannot tell, and says only that nothing was done.
 std::pair<std::string, std::string> Engine::no_route(const std::string& host) const {
   if (leased()) return {"NODATABASE", host};
-  return {"THROTTLED", "retry-after-ms=" + std::to_string(kNodeRenewMs) + " this node has no news"};
+  return {"THROTTLED", "retry-after-ms=" + std::to_string(kNodeRenewalMs) + " this node has no news"};
 }
 
 void Engine::client_too_long(SessionId id) {
--- a/src/pooler/engine.h
+++ b/src/pooler/engine.h
@@ -6,7 +6,9 @@
 #include <unordered_map>
 
 #include "config/cluster_state.h"
+#include "controller/constants.h"
 #include "net/timer_queue.h"
+#include "pooler/constants.h"
 #include "pooler/freshness.h"
 #include "pooler/latency_tracker.h"
 #include "pooler/lvector.h"
@@ -63,11 +65,11 @@
   void lease(Millis until, std::uint64_t number, std::size_t members);
 
   // A database has turned connections away somewhere: fewer are kept to it for a while.
-  void tight(const InstanceId& id) { pools_[id].tight_until = now_ + constants::kTightMs; }
+  void tight(const InstanceId& id) { pools_[id].tight_until = now_ + kConnectionLimitTtlMs; }
   // The nodes of this zone together find that a database fails: reads go to its peers first for a while.
   void avoid(const InstanceId& id) {
     auto& until = pools_[id].avoid_until;
-    until = std::max(until, now_ + constants::kAvoidToldMs);
+    until = std::max(until, now_ + kReportedEjectionMs);
   }
   // The core's clock, as just heard; `life` names the process whose clock it is.
   void hear_clock(std::uint64_t life, Millis core_time) {
--- a/src/pooler/engine_health.cc
+++ b/src/pooler/engine_health.cc
@@ -2,24 +2,25 @@
 // fails more than its peers, and the core is told what is out of the ordinary.
 #include <algorithm>
 
+#include "health/constants.h"
+#include "pooler/constants.h"
 #include "pooler/engine.h"
 
 namespace pebblespindle::pooler {
-using namespace constants;
 
 void Engine::met(const InstanceId& id, bool good, Millis took) {
   Pool& p = pools_[id];
   ++p.seen.asked;
   p.seen.ms += took;
-  p.trouble += ((good ? 0.0 : 1.0) - p.trouble) * kTroubleLearn;
+  p.trouble += ((good ? 0.0 : 1.0) - p.trouble) * kFailureShareWeight;
   if (good) return;
   ++p.seen.bad;
-  if (p.trouble < kTroubleMost || now_ < p.avoid_until) return;
+  if (p.trouble < kMaxFailureShare || now_ < p.avoid_until) return;
   // Each time it fails again soon after its trial, it is left alone for longer.
-  bool again = now_ < p.avoid_until + kAvoidMostMs;
-  p.avoid_pause = again && p.avoid_pause > 0 ? std::min(2 * p.avoid_pause, kAvoidMostMs) : kAvoidFirstMs;
+  bool again = now_ < p.avoid_until + kMaxEjectionMs;
+  p.avoid_pause = again && p.avoid_pause > 0 ? std::min(2 * p.avoid_pause, kMaxEjectionMs) : kFirstEjectionMs;
   p.avoid_until = now_ + p.avoid_pause;
-  p.trouble = kTroubleMost / 2;  // one more failure on trial is enough
+  p.trouble = kMaxFailureShare / 2;  // one more failure on trial is enough
 }
 
 // Where this node asks a service too seldom to know how far its primary stands, others of its core know:
@@ -46,14 +47,15 @@
   auto& q = waiting_for_position_[service];
   q.push_back(s.id);
   timers_.cancel(s.work.wait);
-  s.work.wait = timers_.at(std::min(now_ + kSoundMs, s.work.deadline), [this, service, id = s.id] {
-    Session* x = find(id);
-    if (!x) return;
-    x->work.wait = 0;
-    x->work.position_of.clear();
-    std::erase(waiting_for_position_[service], id);
-    attempt(id);
-  });
+  s.work.wait =
+      timers_.at(std::min(now_ + kPositionQueryTimeoutMs, s.work.deadline), [this, service, id = s.id] {
+        Session* x = find(id);
+        if (!x) return;
+        x->work.wait = 0;
+        x->work.position_of.clear();
+        std::erase(waiting_for_position_[service], id);
+        attempt(id);
+      });
   if (q.size() == 1) port_.sound(service);
 }
 
@@ -82,8 +84,9 @@
   Json databases = Json::array(), routes = Json::array();
   auto mean = [this](const InstanceId& id) {
     auto p = pools_.find(id);
-    return p == pools_.end() || p->second.seen.asked < kSightLeast ? Millis(-1)
-                                                                   : p->second.seen.ms / p->second.seen.asked;
+    return p == pools_.end() || p->second.seen.asked < kMinRequestsInReport
+               ? Millis(-1)
+               : p->second.seen.ms / p->second.seen.asked;
   };
   for (auto& [id, p] : pools_) {
     const Instance* i = cluster_.instance(id);
@@ -99,7 +102,7 @@
   }
   for (auto& [id, p] : pools_) p.seen = {};
   for (auto& [name, r] : routes_seen_)
-    if (r.asked >= kSightLeast && (r.refused + r.failed + r.late) * 10 >= r.asked)
+    if (r.asked >= kMinRequestsInReport && (r.refused + r.failed + r.late) * 10 >= r.asked)
       routes.push_back(Json::array({name, r.asked, r.refused, r.failed, r.late}));
   routes_seen_.clear();
   if (databases.empty() && routes.empty()) return {};
--- a/src/pooler/engine_routing.cc
+++ b/src/pooler/engine_routing.cc
@@ -1,10 +1,11 @@
 // Routing: which database may run a statement, when to wait, when to refuse; and the pools.
 #include <algorithm>
 
+#include "net/constants.h"
+#include "pooler/constants.h"
 #include "pooler/engine.h"
 
 namespace pebblespindle::pooler {
-using namespace constants;
 using sql_protocol::Verb;
 
 // --- the control state ---------------------------------------------------------
@@ -62,7 +63,7 @@
         if (it != suspended_since_.end()) it->second = -1;  // done with
       };
       if (l->planned)
-        timers_.at(now_ + kSwitchDrainMs, end_open);
+        timers_.at(now_ + kHandOverDrainMs, end_open);
       else
         end_open();
     }
@@ -281,7 +282,7 @@
   if (lease_until_ > 0 && !leased() && now_ >= lease_until_) return true;
   const Lead* l = cluster_.lead(service);
   auto p = l && !l->hold ? pools_.find(l->primary) : pools_.end();
-  return p != pools_.end() && p->second.closed_off && now_ >= p->second.closed_since + kCutOffMs;
+  return p != pools_.end() && p->second.closed_off && now_ >= p->second.closed_since + kPrimaryUnreachableMs;
 }
 
 bool Engine::ready() const {
@@ -296,7 +297,7 @@
   if (!i) return 0;
   auto it = cluster_.config().services.find(i->service);
   int cap = it == cluster_.config().services.end() ? 16 : it->second.max_connections;
-  return double(std::max(1, cap - kConnReservePerDatabase)) / double(members_);
+  return double(std::max(1, cap - kReservedConnections)) / double(members_);
 }
 
 // Where connections are scarce a node may open a few, but keeps at most one: what all nodes use at one moment
@@ -304,7 +305,7 @@
 std::size_t Engine::share(const InstanceId& id) const {
   double fair = fair_share(id);
   if (fair == 0) return 0;
-  return fair < kScarceShare ? kScarceMost : std::size_t(fair);
+  return fair < kScarceConnectionsPerNode ? kMaxScarceConnections : std::size_t(fair);
 }
 
 // How long an unused connection is kept. Most databases are asked by few of the nodes, so that all may keep
@@ -312,11 +313,11 @@
 // fit, by lot, keep theirs, and the others let go at once.
 Millis Engine::keep(const InstanceId& id, const Pool& p) const {
   double fair = fair_share(id);
-  if (fair >= kScarceShare || now_ >= p.tight_until) return kIdleShedMs;
+  if (fair >= kScarceConnectionsPerNode || now_ >= p.tight_until) return kIdleConnectionMs;
   std::uint64_t x = std::hash<std::string>()(id.value) ^ (lot_ * 0x9e3779b97f4a7c15ull);
   x = (x ^ (x >> 29)) * 0xbf58476d1ce4e5b9ull;
   double drawn = double((x ^ (x >> 32)) >> 11) / double(1ull << 53);
-  return drawn < kKeptShare * fair ? kIdleShedMs : 0;
+  return drawn < kKeptConnectionShare * fair ? kIdleConnectionMs : 0;
 }
 
 void Engine::shed_idle() {
@@ -451,7 +452,8 @@
   c.idle_since = now_;
   Pool& p = pools_[c.instance];
   InstanceId id = c.instance;
-  bool surplus = p.waiting.empty() && fair_share(id) < kScarceShare && (!p.idle.empty() || keep(id, p) == 0);
+  bool surplus = p.waiting.empty() && fair_share(id) < kScarceConnectionsPerNode &&
+                 (!p.idle.empty() || keep(id, p) == 0);
   if (!cluster_.instance(id) || p.total > share(id) || surplus) return drop_server(c.id, true);
   p.idle.push_back(c.id);
   hand_out(id);
@@ -476,7 +478,7 @@
 void Engine::limit(const InstanceId& id) {
   Pool& p = pools_[id];
   if (now_ < p.limit_until) return;
-  p.limit_until = now_ + kLimitPauseMs;
+  p.limit_until = now_ + kConnectionLimitPauseMs;
   if (now_ >= p.tight_until) {
     tight(id);
     port_.full(id);
@@ -535,7 +537,7 @@
   if (p.closed_off) return;
   p.closed_off = true;
   if (p.trial_pause == 0) p.closed_since = now_;
-  p.trial_pause = p.trial_pause == 0 ? kTrialFirstMs : std::min(p.trial_pause * 2, kTrialMostMs);
+  p.trial_pause = p.trial_pause == 0 ? kFirstProbeMs : std::min(p.trial_pause * 2, kMaxProbeIntervalMs);
   std::vector<ConnId> idle = p.idle;
   for (auto c : idle) drop_server(c, false);
   timers_.at(now_ + p.trial_pause, [this, id] { try_again(id); });
--- a/src/pooler/engine_statements.cc
+++ b/src/pooler/engine_statements.cc
@@ -1,10 +1,11 @@
 // Execution: statements on server connections, their answers, and what follows when none comes.
 #include <algorithm>
 
+#include "net/constants.h"
+#include "pooler/constants.h"
 #include "pooler/engine.h"
 
 namespace pebblespindle::pooler {
-using namespace constants;
 using sql_protocol::Verb;
 
 namespace {
@@ -27,7 +28,7 @@
   w.rows.clear();
   c.script.clear();
   if (!c.in_tx) {
-    bool extra = c.values_unsure || c.prepared.size() > kMaxPreparedPerConn;
+    bool extra = c.values_unsure || c.prepared.size() > kMaxPreparedPerConnection;
     for (auto& [name, value] : c.values) extra = extra || !s.values.count(name);
     if (extra) {
       c.script.push_back("RESET");
@@ -41,7 +42,7 @@
   }
   if (!w.prepared_key.empty() && !c.prepared.count(w.prepared_key)) {
     // A name never stands for another shape, also not once the list has grown too long and starts anew.
-    if (shape_names_.size() >= kMaxShapes) shape_names_.clear();
+    if (shape_names_.size() >= kMaxPreparedNames) shape_names_.clear();
     auto [it, fresh] = shape_names_.emplace(w.prepared_key, last_shape_ + 1);
     if (fresh) ++last_shape_;
     c.script.push_back("PREPARE p" + std::to_string(it->second) + " " + w.prepared_key);
@@ -65,10 +66,10 @@
 // How long an answer of this database may take before it is missed.
 Millis Engine::patience(const InstanceId& id, const Session& s) const {
   auto p = pools_.find(id);
-  if (p == pools_.end()) return kHedgeUnknownMs;
+  if (p == pools_.end()) return kInitialHedgeDelayMs;
   auto w = p->second.worst.find(s.route->name);
-  if (w == p->second.worst.end()) return kHedgeUnknownMs;
-  return std::max<Millis>(kHedgeFloorMs, Millis(kHedgeFactor * w->second));
+  if (w == p->second.worst.end()) return kInitialHedgeDelayMs;
+  return std::max<Millis>(kMinHedgeDelayMs, Millis(kHedgeFactor * w->second));
 }
 
 // Sends what comes next on this connection: a setup statement, the client's statement, or a rollback.
@@ -279,9 +280,9 @@
   auto& latency = p.latency[s->route->name];
   double took = double(now_ - w.sent_at);
   bool old = now_ - latency.at > kLatencyForgetMs;
-  latency = {old ? took : latency.mean + (took - latency.mean) * kLatencyLearn, now_};
+  latency = {old ? took : latency.mean + (took - latency.mean) * kLatencyWeight, now_};
   double& worst = p.worst[s->route->name];
-  worst = std::max(double(now_ - w.sent_at), worst * kWorstDecay);
+  worst = std::max(double(now_ - w.sent_at), worst * kWorstLatencyDecay);
   if (idle.position) {
     if (c.observing) {
       fresh_[c.service].observe(w.sent_at, *idle.position);
@@ -398,9 +399,9 @@
   Pool& p = pools_[c->instance];
   Work& w = s->work;
   InstanceId instance = c->instance;
-  bool silent = p.last_answer < w.sent_at && ++p.silent >= kSilentReports;
+  bool silent = p.last_answer < w.sent_at && ++p.silent >= kSilencesUntilReport;
   // Where this node asks seldom, its next request is far off: others have met it as well.
-  bool seldom = p.last_answer < w.sent_at - kSeldomMs;
+  bool seldom = p.last_answer < w.sent_at - kRarelyUsedMs;
   if (silent || seldom) {
     p.suspected = true;
     port_.suspect(instance, silent ? Port::Trouble::kSilent : Port::Trouble::kOneMissed);
--- a/src/pooler/freshness.h
+++ b/src/pooler/freshness.h
@@ -2,8 +2,9 @@
 #pragma once
 #include <deque>
 
-#include "base/constants.h"
 #include "base/types.h"
+#include "membership/constants.h"
+#include "pooler/constants.h"
 
 namespace pebblespindle::pooler {
 
@@ -12,13 +13,13 @@
   // The primary's log stood at p at some moment not before `asked`.
   void observe(Millis asked, Position p) {
     if (!seen_.empty() && p < seen_.back().position) return;  // an answer that overtook another
-    if (!seen_.empty() && asked < seen_.back().asked + constants::kObservationStepMs) return;
+    if (!seen_.empty() && asked < seen_.back().asked + kObservationStepMs) return;
     seen_.push_back({asked, p});
-    while (seen_.size() > 1 && seen_.front().asked < asked - constants::kObservationKeepMs) seen_.pop_front();
+    while (seen_.size() > 1 && seen_.front().asked < asked - kMaxPositionAgeMs) seen_.pop_front();
   }
   // The least demanding position that holds every commit acknowledged more than stale_ms before now.
   std::optional<Position> bound(Millis now, Millis stale_ms) const {
-    Millis from = now - stale_ms + constants::kFreshMarginMs;
+    Millis from = now - stale_ms + kFreshnessMarginMs;
     for (auto& o : seen_)
       if (o.asked >= from) return o.position;
     return std::nullopt;
--- a/src/pooler/latency_tracker.h
+++ b/src/pooler/latency_tracker.h
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <vector>
 
-#include "base/constants.h"
 #include "base/types.h"
+#include "pooler/constants.h"
 
 namespace pebblespindle::pooler {
 
@@ -16,18 +16,17 @@
   // leaves alone) takes several times as long as ever, though it gets no more done than usual. What it is
   // asked tells nothing: statements it turns away are offered again.
   bool close_window() {
-    using namespace constants;
     bool slow = false;
-    if (took_.size() >= std::size_t(kPaceLeastAnswers)) {
+    if (took_.size() >= std::size_t(kMinAnswersInWindow)) {
       auto middle = took_.begin() + std::ptrdiff_t(took_.size() / 2);
       std::nth_element(took_.begin(), middle, took_.end());
       double median = double(*middle), answers = double(took_.size());
-      bool longer = usual_ > 0 && median >= kPaceSlowFactor * usual_ && median >= usual_ + kPaceSlowMs;
-      slow = longer && answers <= kPaceBusyFactor * usual_answers_;
+      bool longer = usual_ > 0 && median >= kSlowFactor * usual_ && median >= usual_ + kMinSlowdownMs;
+      slow = longer && answers <= kBusyFactor * usual_answers_;
       if (!longer) {
-        usual_ = usual_ == 0 ? median : usual_ + (median - usual_) * kPaceLearn;
+        usual_ = usual_ == 0 ? median : usual_ + (median - usual_) * kUsualLatencyWeight;
         usual_answers_ =
-            usual_answers_ == 0 ? answers : usual_answers_ + (answers - usual_answers_) * kPaceLearn;
+            usual_answers_ == 0 ? answers : usual_answers_ + (answers - usual_answers_) * kUsualLatencyWeight;
       }
     }
     took_.clear();
--- a/src/pooler/pooler.cc
+++ b/src/pooler/pooler.cc
@@ -3,21 +3,24 @@
 #include <random>
 #include <set>
 
-#include "base/constants.h"
 #include "base/log.h"
 #include "cli/command_registry.h"
+#include "health/constants.h"
+#include "membership/constants.h"
+#include "net/constants.h"
 #include "net/event_loop.h"
 #include "net/http.h"
 #include "net/line_connection.h"
+#include "pooler/constants.h"
 #include "pooler/control_feed.h"
 #include "pooler/engine.h"
 #include "proxy/agent_link.h"
+#include "replication/timing.h"
 #include "settings/run_role.h"
 
 namespace pebblespindle {
 namespace {
 
-using namespace constants;
 using pooler::ConnId;
 using pooler::SessionId;
 
@@ -51,16 +54,16 @@
       log_.say(s ? "Settings read again." : "Settings not taken: " + s.status().message());
     });
     log_.say("Pooler " + settings_.node_name + " serves at " + front->second.text() + ".");
-    loop_.every(kNodeRenewMs, [this] { renew(); });
-    loop_.every(kPaceWindowMs, [this] {
+    loop_.every(kNodeRenewalMs, [this] { renew(); });
+    loop_.every(kLatencyWindowMs, [this] {
       touch();
       engine_.take_pace();
     });
-    loop_.every(kShedStepMs, [this] {
+    loop_.every(kShedIntervalMs, [this] {
       touch();
       engine_.shed_idle();
     });
-    loop_.every(kSightMs, [this] {
+    loop_.every(kHealthWindowMs, [this] {
       touch();
       Json sights = engine_.take_sights();
       if (!sights.is_null()) feed_.send(sights);
@@ -133,7 +136,7 @@
     Millis now = loop_.now();
     bool refused = trouble == Trouble::kRefused, once = trouble == Trouble::kOneMissed;
     auto& last = suspected_[id];
-    if (last.at != 0 && now - last.at < kCoreSilentMs && (once || !last.once)) return;
+    if (last.at != 0 && now - last.at < replication::kPeerTimeoutMs && (once || !last.once)) return;
     if (!once && (last.at == 0 || last.once))
       log_.say("Database " + id.value + (refused ? " refuses connections." : " gives no answers."));
     last = {now, once};
@@ -261,7 +264,7 @@
     if (engine_.leaving()) return;
     log_.say("Asked to end: unready from now on.");
     engine_.leave();
-    Millis half = settings_.grace_ms / 2, notice = std::min(kUnreadyNoticeMs, half * 3 / 4);
+    Millis half = settings_.grace_ms / 2, notice = std::min(kUnreadinessNoticeMs, half * 3 / 4);
     auto& timers = loop_.timers();
     timers.at(loop_.now() + notice, [this] {
       touch();
--- a/src/proxy/agent_link.h
+++ b/src/proxy/agent_link.h
@@ -1,7 +1,7 @@
 // A proxy's link to the agent beside it: dialled over loopback, and dialled again whenever it ends.
 #pragma once
-#include "base/constants.h"
 #include "base/json_schema.h"
+#include "net/constants.h"
 #include "net/event_loop.h"
 #include "net/line_connection.h"
 
@@ -16,7 +16,7 @@
   AgentLink(EventLoop& loop, Endpoint at, Handlers h) : loop_(loop), at_(std::move(at)), h_(std::move(h)) {}
 
   void start() {
-    LineConnection::connect(loop_.io(), at_, constants::kServerConnectMs, constants::kMaxLinkBytes,
+    LineConnection::connect(loop_.io(), at_, kServerConnectMs, kMaxLinkBytes,
                             [this](LineConnection::Ptr conn, const asio::error_code&) {
                               if (!conn) return again();
                               conn_ = conn;
@@ -38,7 +38,7 @@
 
  private:
   void again() {
-    loop_.timers().at(loop_.now() + constants::kReconnectMs, [this] { start(); });
+    loop_.timers().at(loop_.now() + kReconnectMs, [this] { start(); });
     loop_.rearm();
   }
   EventLoop& loop_;
--- a/src/quota/quota_allocator.cc
+++ b/src/quota/quota_allocator.cc
@@ -1,12 +1,11 @@
 #include "quota/quota_allocator.h"
 
-#include "base/constants.h"
+#include "quota/constants.h"
 
 namespace pebblespindle::quota {
-using namespace constants;
 
 void QuotaAllocator::pass(Millis now, const std::map<std::string, Tenant>& tenants, std::size_t cores) {
-  Millis since = last_ < 0 ? 0 : std::min<Millis>(now - last_, kQuotaStepMost);
+  Millis since = last_ < 0 ? 0 : std::min<Millis>(now - last_, kMaxCreditIntervalMs);
   last_ = now;
   std::erase_if(stores_, [&](auto& s) { return !tenants.count(s.first); });
   for (auto& [name, t] : tenants) {
@@ -14,7 +13,7 @@
     Store& s = stores_[name];
     if (cores == 0) continue;
     // Rights that pile up never exceed this core's share of the burst, and a little for the smallest.
-    s.most = Rights(double(kOne) * (t.burst * kQuotaPile / double(cores) + kQuotaLeast));
+    s.most = Rights(double(kOne) * (t.burst * kStoredBurstShare / double(cores) + kMinStoredOperations));
     Rights more =
         Rights(t.rate_per_s * double(since) / double(cores));  // operations a second are thousandths a ms
     s.account.credit(std::min(more, std::max<Rights>(0, s.most - s.account.rights())));
@@ -62,8 +61,8 @@
   std::erase_if(peers_, [&](auto& p) { return now > p.second.at + 3 * kQuotaSyncMs; });
   for (auto& [name, s] : stores_) {
     Rights have = s.account.rights();
-    if (!s.in_use || double(have) >= double(s.most) * kQuotaThreshold + double(kOne)) continue;
-    if (now < s.asked_at + kQuotaAskMs) continue;
+    if (!s.in_use || double(have) >= double(s.most) * kRequestBelowShare + double(kOne)) continue;
+    if (now < s.asked_at + kQuotaRequestMs) continue;
     const Holder* richest = nullptr;
     Rights most = have + 2 * kOne;  // less is not worth a message
     for (auto& [peer, p] : peers_) {
--- a/src/quota/quota_client.h
+++ b/src/quota/quota_client.h
@@ -4,9 +4,9 @@
 #pragma once
 #include <cmath>
 
-#include "base/constants.h"
 #include "base/types.h"
 #include "quota/bounded_counter.h"
+#include "quota/constants.h"
 
 namespace pebblespindle::pooler {
 
@@ -24,10 +24,10 @@
     Outcome o;
     o.paid = h.account.debit(quota::kOne);
     // Ahead of use: what is used here in a moment. Below a threshold more is asked for.
-    auto ahead = quota::Rights(double(quota::kOne) * std::max(1.0, h.pace * constants::kRightsAheadS));
+    auto ahead = quota::Rights(double(quota::kOne) * std::max(1.0, h.pace * kRightsAheadS));
     if (!o.paid) o.exhausted = now < h.empty_until;
     bool low = !o.paid || (h.pace > 3 && h.account.rights() < ahead / 10);
-    if (low && !o.exhausted && now >= h.asked_at + constants::kQuotaAskMs) {
+    if (low && !o.exhausted && now >= h.asked_at + kQuotaRequestMs) {
       h.asked_at = now;
       o.want = ahead + quota::kOne;
     }
@@ -41,7 +41,7 @@
     h.asked_at = -1000000;
     h.heard_at = now;
     // Nothing more is to be had for a moment: refusals need not wait for the core.
-    if (sum <= before) h.empty_until = now + constants::kQuotaAskMs;
+    if (sum <= before) h.empty_until = now + kQuotaRequestMs;
   }
   quota::Rights known(const std::string& tenant, const quota::Holder& core) const {
     auto it = held_.find(tenant);
@@ -56,7 +56,7 @@
   };
   // What was given long ago and not used is let go of: nobody could tell any more in which window it counts.
   static void settle(Millis now, Held& h) {
-    if (now > h.heard_at + constants::kRightsLastMs) h.account.debit(h.account.rights());
+    if (now > h.heard_at + kRightsTtlMs) h.account.debit(h.account.rights());
   }
   std::map<std::string, Held> held_;
 };
--- a/src/replication/timing.h
+++ b/src/replication/timing.h
@@ -12,8 +12,6 @@
 constexpr Millis kVoterReplacementMs = 2500;
 // Ends as a silent replica is suspected, so that the wait for its end costs nothing.
 constexpr Millis kViewLeaseMs = 950;
-// Clock drift and late timers over the longest lease.
-constexpr Millis kDriftMarginMs = 50;
 // The leader stops acting this long before its lease ends.
 constexpr Millis kLeaderGuardMs = 250;
 // A few round trips and syncs between zones; then a proposal is made anew.
--- a/src/replication/view_lease.cc
+++ b/src/replication/view_lease.cc
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 
+#include "base/clock.h"
 #include "replication/timing.h"
 
 namespace pebblespindle::replication {
@@ -45,7 +46,7 @@
   std::size_t voters = state_.view.has_voter(state_.self) && still_grants(state_.self) ? 1 : 0;
   for (auto& [id, lease] : leases_) {
     if (id == state_.self || !lease.held_since || !state_.view.has_voter(id)) continue;
-    if (now < *lease.held_since + kViewLeaseMs - kDriftMarginMs - guard) ++voters;
+    if (now < *lease.held_since + kViewLeaseMs - kClockDriftMarginMs - guard) ++voters;
   }
   return voters >= state_.view.majority();
 }
@@ -66,7 +67,7 @@
     const Peer* peer = peers_.find(member.id);
     const bool gave_back = peer && peer->not_participating && peer->view == state_.view.number;
     if (!gave_back) last = std::max(last, voters_changed_at_);
-    if (now < last + kViewLeaseMs + kDriftMarginMs) {
+    if (now < last + kViewLeaseMs + kClockDriftMarginMs) {
       lease.withheld_until = now + 2 * kViewLeaseMs;
       return true;
     }
--- a/src/replication/view_lease.h
+++ b/src/replication/view_lease.h
@@ -1,16 +1,17 @@
 // Leases of the members' places in the view: as a voter this replica grants them, as a member it holds them.
 //
 // A member acts (as the head, as the tail, towards nodes) only while a majority of the present voters has
-// granted it its place in this very view; it stops kDriftMarginMs before that ends. A voter accepts a view
-// that leaves a member out only once the lease that it gave it has ended, and gives none any more from then
-// on, to itself neither. So no two views are acted on at once. Leases count from the sending of the
+// granted it its place in this very view; it stops kClockDriftMarginMs before that ends. A voter accepts a
+// view that leaves a member out only once the lease that it gave it has ended, and gives none any more from
+// then on, to itself neither. So no two views are acted on at once. Leases count from the sending of the
 // heartbeat, by the clock of the holder: the way there and back only shortens them. Limit: steady clocks run
-// alike within kDriftMarginMs over kViewLeaseMs. (Lamport's leases on top of the reconfiguration of van
+// alike within kClockDriftMarginMs over kViewLeaseMs. (Lamport's leases on top of the reconfiguration of van
 // Renesse and Schneider's chain replication; docs/design.md.)
 #pragma once
 #include <map>
 #include <optional>
 
+#include "base/clock.h"
 #include "replication/local_state.h"
 #include "replication/peer_table.h"
 
--- a/src/sidecar/app_response_reader.cc
+++ b/src/sidecar/app_response_reader.cc
@@ -2,12 +2,12 @@
 
 #include <charconv>
 
-#include "base/constants.h"
+#include "sidecar/constants.h"
 
 namespace pebblespindle::sidecar {
 
 AppResponseReader::AppResponseReader()
-    : reader_(HttpReader::Kind::kResponses, constants::kMaxAnswerHeadBytes, constants::kMaxCallBytes) {}
+    : reader_(HttpReader::Kind::kResponses, kMaxAnswerHeadBytes, kMaxCallBytes) {}
 
 bool AppResponseReader::feed(std::string_view bytes, std::vector<Answer>& out) {
   while (!bytes.empty()) {
--- a/src/sidecar/client_listener.cc
+++ b/src/sidecar/client_listener.cc
@@ -2,10 +2,10 @@
 
 #include <algorithm>
 
-#include "base/constants.h"
+#include "net/constants.h"
+#include "sidecar/constants.h"
 
 namespace pebblespindle::sidecar {
-using namespace constants;
 
 std::string ClientListener::listen(const Endpoint& at) {
   auto a = Acceptor::listen(loop_.io(), at, [this](asio::ip::tcp::socket s) { accept(std::move(s)); });
--- a/src/sidecar/connections.cc
+++ b/src/sidecar/connections.cc
@@ -1,9 +1,8 @@
 #include "sidecar/connections.h"
 
-#include "base/constants.h"
+#include "sidecar/constants.h"
 
 namespace pebblespindle::sidecar {
-using namespace constants;
 
 std::string PeerLinks::listen(const Endpoint& at) {
   auto a = Acceptor::listen(loop_.io(), at, [this](asio::ip::tcp::socket s) { accept(std::move(s)); });
@@ -13,7 +12,7 @@
 }
 
 void PeerLinks::accept(asio::ip::tcp::socket socket) {
-  set_silence_limit(socket, kPeerSilentMs);
+  set_silence_limit(socket, kPeerLinkTimeoutMs);
   LinkId id = ++last_;
   auto conn =
       std::make_shared<LineConnection>(std::move(socket), kMaxFrameBytes, LineConnection::Kind::kFrames);
@@ -61,7 +60,7 @@
 void PeerLinks::dial(const Endpoint& to) {
   peers_[to].dialling = true;
   LineConnection::connect(
-      loop_.io(), to, kPeerDialMs, kMaxFrameBytes,
+      loop_.io(), to, kPeerConnectMs, kMaxFrameBytes,
       [this, to](LineConnection::Ptr conn, const asio::error_code&) {
         Peer& p = peers_[to];
         p.dialling = false;
@@ -72,7 +71,7 @@
           return loop_.rearm();
         }
         p.conn = conn;
-        set_silence_limit(conn->socket(), kPeerSilentMs);
+        set_silence_limit(conn->socket(), kPeerLinkTimeoutMs);
         auto lost = [this, to, conn] {
           auto it = peers_.find(to);
           if (it == peers_.end() || it->second.conn != conn) return;
@@ -89,7 +88,7 @@
         for (auto& h : held) {  // what was left when it was offered is less by now
           for (const char* key : {"d", "w", "a"})
             if (h.frame.contains(key))
-              h.frame[key] = figure(h.frame, key, 0, 0, kMostWaitMs) - (loop_.now() - h.since);
+              h.frame[key] = figure(h.frame, key, 0, 0, kMaxWaitMs) - (loop_.now() - h.since);
           conn->send_frame(packed(h.frame));
         }
       },
--- a/src/sidecar/frame.cc
+++ b/src/sidecar/frame.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "base/constants.h"
+#include "sidecar/constants.h"
 
 namespace pebblespindle::sidecar {
 
@@ -13,8 +13,8 @@
  public:
   using Dom = nlohmann::detail::json_sax_dom_parser<Json>;
   explicit Shallow(Json& out) : Dom(out, false) {}
-  bool start_object(std::size_t n) { return ++depth_ <= constants::kFrameDepth && Dom::start_object(n); }
-  bool start_array(std::size_t n) { return ++depth_ <= constants::kFrameDepth && Dom::start_array(n); }
+  bool start_object(std::size_t n) { return ++depth_ <= kMaxFrameDepth && Dom::start_object(n); }
+  bool start_array(std::size_t n) { return ++depth_ <= kMaxFrameDepth && Dom::start_array(n); }
   bool end_object() { return --depth_, Dom::end_object(); }
   bool end_array() { return --depth_, Dom::end_array(); }
 
--- a/src/sidecar/inbound.cc
+++ b/src/sidecar/inbound.cc
@@ -2,10 +2,10 @@
 
 #include <algorithm>
 
+#include "sidecar/constants.h"
 #include "sidecar/frame.h"
 
 namespace pebblespindle::sidecar {
-using namespace constants;
 
 void Inbound::database(std::optional<Instance> i) {
   bool other = !here_ || !i || here_->id != i->id;
@@ -59,7 +59,7 @@
   Call call{text(m, "m"), text(m, "u"), text(m, "b"), fields_from(m.value("h", Json()))};
   if (!one_word(call.method) || !one_word(call.target)) return say_no(link, n, "gone", false);
   if (down_ && (trial_ || now_ < trial_at_)) return say_no(link, n, "down", false);
-  const Millis wait = figure(m, "w", 0, 0, kMostWaitMs), left = figure(m, "d", 0, 0, kMostWaitMs);
+  const Millis wait = figure(m, "w", 0, 0, kMaxWaitMs), left = figure(m, "d", 0, 0, kMaxWaitMs);
   auto cap = std::size_t(std::max(1, here_->capacity));
   if (running_ >= cap) {
     // How long it would wait, as things stand; a wait that will be too long is refused now.
@@ -75,7 +75,8 @@
   j.deadline = now_ + left;
   j.until = now_ + wait;
   // The aim that ends first goes first; a rank is worth a little of it.
-  j.due = now_ + figure(m, "a", left, -kMostWaitMs, kMostWaitMs) + figure(m, "p", 1, 0, kRanks) * kRankMs;
+  j.due = now_ + figure(m, "a", left, -kMaxWaitMs, kMaxWaitMs) +
+          figure(m, "p", 1, 0, kMaxPriorities) * kPriorityStepMs;
   j.safe = flag(m, "s");
   j.caller = text(m, "c");
   std::uint64_t id = ++last_job_;
@@ -119,7 +120,7 @@
       old.push_back(id);
       continue;
     }
-    if (!safe && age > std::max<Millis>(kIdleLeastMs, idle_most_)) continue;
+    if (!safe && age > std::max<Millis>(kMinIdleLimitMs, idle_most_)) continue;
     if (s.idle_since > since) best = id, since = s.idle_since;
   }
   for (auto id : old) drop_server(id);
@@ -180,8 +181,7 @@
   j.sent = now_;
   j.rested = s.used ? now_ - s.idle_since : 0;
   Call c = j.call;
-  set_field(c.fields, kDeadlineField,
-            std::to_string(std::max<Millis>(1, j.deadline - now_ - kDeadlineWayMs)));
+  set_field(c.fields, kDeadlineField, std::to_string(std::max<Millis>(1, j.deadline - now_ - kReturnWayMs)));
   set_field(c.fields, kTargetField, s.life.value);
   set_field(c.fields, kCallerField, j.caller);
   port_.to_server(conn, c);
@@ -207,7 +207,7 @@
                       (ours && !theirs && s.used && r.status < 400);
   met(!broken && (r.status < 500 || not_run), false);
   double took = double(now_ - j.began);
-  if (r.status < 500) mean_ = mean_ == 0 ? took : mean_ + (took - mean_) * kIllLearn;
+  if (r.status < 500) mean_ = mean_ == 0 ? took : mean_ + (took - mean_) * kFailureWeight;
   // One that has rested longer than is trusted works all the same: others are trusted as long.
   if (s.used && !broken) idle_most_ = std::max(idle_most_, j.rested);
   const bool keep = keep_ms >= 0 && s.keep_ms >= 0 && !broken && theirs && !j.alone && here(s.life);
@@ -234,7 +234,7 @@
 }
 
 void Inbound::distrust(Millis rested) {
-  idle_most_ = std::max(kIdleLeastMs, std::min(idle_most_, Millis(double(rested) * kIdleShare)));
+  idle_most_ = std::max(kMinIdleLimitMs, std::min(idle_most_, Millis(double(rested) * kTrustedIdleShare)));
 }
 
 void Inbound::server_down(ConnId id, bool refused) {
@@ -251,12 +251,12 @@
   --running_;
   timers_.cancel(j.timer);
   if (!s.up) {  // the request was never sent
-    if (refused || ++silent_ >= kDownSilent) set_down();
+    if (refused || ++silent_ >= kSilencesUntilDown) set_down();
     met(false, false);
     say_not_run(j, "down", false);
   } else {
     // A connection that had rested and ends as soon as it is used was dead before: so may be others as old.
-    bool stale = s.used && now_ - j.sent < kIdleLeastMs;
+    bool stale = s.used && now_ - j.sent < kMinIdleLimitMs;
     if (stale) distrust(j.rested);
     if (stale && j.safe && j.wanted && here(s.life)) {
       j.again = true;  // once more, at the same database; over a new connection, so not a third time
@@ -301,14 +301,14 @@
 
 // Each result at the database counts: it alone is asked through here.
 void Inbound::met(bool good, bool silent) {
-  ill_ += ((good ? 0.0 : 1.0) - ill_) * kIllLearn;
+  ill_ += ((good ? 0.0 : 1.0) - ill_) * kFailureWeight;
   failed_ = good ? 0 : failed_ + 1;
   if (good) {
     silent_ = 0;
     down_ = trial_ = false;
-  } else if (silent && ++silent_ >= kDownSilent) {
+  } else if (silent && ++silent_ >= kSilencesUntilDown) {
     set_down();
-  } else if (trial_ || failed_ >= kDownFailed) {
+  } else if (trial_ || failed_ >= kFailuresUntilDown) {
     set_down();
   }
 }
@@ -317,7 +317,7 @@
 void Inbound::set_down() {
   down_ = true;
   trial_ = false;
-  trial_at_ = now_ + kDownTrialMs;
+  trial_at_ = now_ + kDownProbeMs;
   turn_away("down");
 }
 
--- a/src/sidecar/inbound.h
+++ b/src/sidecar/inbound.h
@@ -6,10 +6,10 @@
 #include <optional>
 #include <set>
 
-#include "base/constants.h"
 #include "config/records.h"
 #include "net/timer_queue.h"
 #include "sidecar/call.h"
+#include "sidecar/constants.h"
 
 namespace pebblespindle::sidecar {
 
@@ -98,7 +98,7 @@
   double ill_ = 0, mean_ = 0;    // share of results that were failures; how long a request takes, ms
   int silent_ = 0, failed_ = 0;  // in a row
   bool down_ = false, trial_ = false;
-  Millis trial_at_ = 0, idle_most_ = constants::kIdleUnknownMs;
+  Millis trial_at_ = 0, idle_most_ = kInitialIdleLimitMs;
 };
 
 }  // namespace pebblespindle::sidecar
--- a/src/sidecar/instance_heartbeats.h
+++ b/src/sidecar/instance_heartbeats.h
@@ -6,8 +6,8 @@
 #include <limits>
 #include <map>
 
-#include "base/constants.h"
 #include "net/timer_queue.h"
+#include "sidecar/constants.h"
 
 namespace pebblespindle::sidecar {
 
@@ -18,7 +18,7 @@
   explicit InstanceHeartbeats(TimerQueue& timers) : timers_(timers) {}
   void ask(Millis now, const InstanceId& id, std::uint64_t number, Done done) {
     answered(id, number, 503);  // the same again: the former caller has gone on
-    waiting_[{id, number}] = {std::move(done), timers_.at(now + constants::kBeatAnswerMs,
+    waiting_[{id, number}] = {std::move(done), timers_.at(now + kHeartbeatAnswerMs,
                                                           [this, id, number] { answered(id, number, 503); })};
   }
   void answered(const InstanceId& id, std::uint64_t number, int status) {
--- a/src/sidecar/outbound.cc
+++ b/src/sidecar/outbound.cc
@@ -3,10 +3,11 @@
 #include <charconv>
 #include <cmath>
 
+#include "membership/constants.h"
+#include "sidecar/constants.h"
 #include "sidecar/frame.h"
 
 namespace pebblespindle::sidecar {
-using namespace constants;
 
 namespace {
 
@@ -45,13 +46,13 @@
 }
 
 void Outbound::call(CallId id, Call c) {
-  if (!cluster_.fed()) return port_.answer(id, own_reply(503, kNodeRenewMs));
+  if (!cluster_.fed()) return port_.answer(id, own_reply(503, kNodeRenewalMs));
   const std::string* host = find_field(c.fields, "Host");
   if (!host || c.target.empty() || c.target.front() != '/') return port_.answer(id, own_reply(400));
   auto path = std::string_view(c.target).substr(0, c.target.find('?'));
   auto route = cluster_.route(host->substr(0, host->find(':')), path);
   // A node without news cannot tell a route that is missing from one it has not heard of.
-  if (!route) return port_.answer(id, sure_ ? own_reply(404) : own_reply(503, kNodeRenewMs));
+  if (!route) return port_.answer(id, sure_ ? own_reply(404) : own_reply(503, kNodeRenewalMs));
   Work& w = works_[id];
   w.route = route;
   w.service = draw(*route);
@@ -59,20 +60,20 @@
   w.began = now_;
   Millis left = route->timeout_ms;
   if (auto told = millis_of(find_field(c.fields, kDeadlineField))) left = std::min(left, *told);
-  w.deadline = now_ + std::max<Millis>(1, left - kDeadlineWayMs);
+  w.deadline = now_ + std::max<Millis>(1, left - kReturnWayMs);
   w.call = std::move(c);
   w.timer = timers_.at(w.deadline, [this, id] {
     Work* x = find(id);
     if (!x) return;
     x->timer = 0;
     withdraw(*x);
-    finish(id, x->may_run > 0 ? own_reply(504) : own_reply(503, kAgainMs));
+    finish(id, x->may_run > 0 ? own_reply(504) : own_reply(503, kRetryAfterMs));
   });
   if (w.safe) {
     auto u = usual_.find(route->name);
-    double most = double(route->target_ms) * kHedgeAimShare;
-    double patience = u == usual_.end() ? most : u->second.mean + kHedgeSpread * u->second.deviation;
-    w.hedge = timers_.at(now_ + std::max<Millis>(kHedgeLeastMs, Millis(patience)), [this, id] {
+    double most = double(route->target_ms) * kHedgeTargetShare;
+    double patience = u == usual_.end() ? most : u->second.mean + kHedgeDeviations * u->second.deviation;
+    w.hedge = timers_.at(now_ + std::max<Millis>(kMinHedgeMs, Millis(patience)), [this, id] {
       if (Work* x = find(id)) {
         x->hedge = 0;
         on_hedge(id);
@@ -91,11 +92,11 @@
 
 double Outbound::load(const Instance& i, const Peer& p) const {
   double cap = std::max(1, i.capacity);
-  double fresh = std::exp2(-double(now_ - p.told_at) / kLoadHalfMs);
-  double running = p.told * fresh + kLoadUsual * cap * (1 - fresh) + p.since * fresh;
+  double fresh = std::exp2(-double(now_ - p.told_at) / kLoadHalfLifeMs);
+  double running = p.told * fresh + kAssumedLoad * cap * (1 - fresh) + p.since * fresh;
   running = std::max(running, double(p.flying));
-  double cost = (running + 1) / cap + p.ill * kIllCost;
-  if (i.zone != terms_.zone) cost += kAwayZoneCost;
+  double cost = (running + 1) / cap + p.ill * kUnhealthyCost;
+  if (i.zone != terms_.zone) cost += kOtherZoneCost;
   if (now_ < p.full_until) cost += 1;
   return cost;
 }
@@ -112,7 +113,7 @@
   const Instance* best = nullptr;
   double best_load = 0;
   for (auto* list : {&home, &away}) {
-    for (std::size_t n = 0; n < std::min(list->size(), kLooked); ++n) {
+    for (std::size_t n = 0; n < std::min(list->size(), kComparedDatabases); ++n) {
       std::swap((*list)[n], (*list)[n + rng_() % (list->size() - n)]);
       double l = load(*(*list)[n], peers_[(*list)[n]->id]);
       if (!best || l < best_load) best = (*list)[n], best_load = l;
@@ -122,13 +123,13 @@
 }
 
 Millis Outbound::wait_until(const Work& w) const {
-  return std::min(w.deadline, w.began + Millis(double(w.route->target_ms) * kWaitShare));
+  return std::min(w.deadline, w.began + Millis(double(w.route->target_ms) * kMaxQueueShare));
 }
 
 void Outbound::next(CallId id, bool wait) {
   Work* w = find(id);
   if (!w) return;
-  wait = wait || int(w->full.size()) >= kBusyTries;
+  wait = wait || int(w->full.size()) >= kMaxFullDatabases;
   const Instance* i = choose(*w, false);
   if (!i) {  // all are full, or gone
     wait = true;
@@ -209,7 +210,7 @@
     --w->may_run;
     const std::string why = text(m, "y");
     if (why == "full") {
-      peers_[a.instance].full_until = now_ + kBusyMs;
+      peers_[a.instance].full_until = now_ + kFullReportTtlMs;
       if (flag(m, "w")) {  // it has waited as long as it may
         if (w->open.empty()) refuse(id);
         return;
@@ -236,9 +237,9 @@
   if (r.status < 400) {
     auto& u = usual_[w->route->name];
     double took = double(now_ - w->began);
-    u.mean = u.mean == 0 ? took : u.mean + (took - u.mean) * kAnswerLearn;
+    u.mean = u.mean == 0 ? took : u.mean + (took - u.mean) * kAnswerTimeWeight;
     u.deviation =
-        u.deviation == 0 ? took : u.deviation + (std::abs(took - u.mean) - u.deviation) * kAnswerLearn;
+        u.deviation == 0 ? took : u.deviation + (std::abs(took - u.mean) - u.deviation) * kAnswerTimeWeight;
   }
   finish(id, std::move(r));
 }
@@ -264,14 +265,14 @@
 
 void Outbound::leave_alone(const InstanceId& id) {
   Peer& p = peers_[id];
-  p.away_pause = std::clamp(p.away_pause * 2, kAwayFirstMs, kAwayMostMs);
+  p.away_pause = std::clamp(p.away_pause * 2, kFirstPeerBackoffMs, kMaxPeerBackoffMs);
   p.away_until = now_ + p.away_pause;
 }
 
 void Outbound::refuse(CallId id) {
   Work* w = find(id);
   if (w->may_run > 0) return finish(id, own_reply(502));
-  finish(id, own_reply(503, kAgainMs));
+  finish(id, own_reply(503, kRetryAfterMs));
 }
 
 // An answer is missed: a second database is asked, and the first to answer counts.
--- a/src/sidecar/pipeline.cc
+++ b/src/sidecar/pipeline.cc
@@ -2,10 +2,9 @@
 
 #include <algorithm>
 
-#include "base/constants.h"
+#include "sidecar/constants.h"
 
 namespace pebblespindle::sidecar {
-using namespace constants;
 
 Pipeline::Pipeline(const Limits& l)
     : reader_(HttpReader::Kind::kRequests, l.header_bytes, std::min(l.body_bytes, kMaxCallBytes)) {}
--- a/src/sidecar/retry_budget.h
+++ b/src/sidecar/retry_budget.h
@@ -6,17 +6,16 @@
 #include <deque>
 #include <utility>
 
-#include "base/constants.h"
 #include "base/types.h"
+#include "sidecar/constants.h"
 
 namespace pebblespindle::sidecar {
 
 class RetryBudget {
  public:
-  RetryBudget(double ratio, Millis window_ms)
-      : ratio_(ratio * constants::kBudgetShare), window_ms_(window_ms) {}
+  RetryBudget(double ratio, Millis window_ms) : ratio_(ratio * kRetryBudgetShare), window_ms_(window_ms) {}
   // Of the fleet's slack, what falls to this node.
-  void set_slack(double slack) { slack_ = slack * constants::kBudgetShare; }
+  void set_slack(double slack) { slack_ = slack * kRetryBudgetShare; }
   void first(Millis now) {
     ++slot(now).firsts;
     ++firsts_;
@@ -38,7 +37,7 @@
   Slot& slot(Millis now) {
     // A slot's first tries leave with its oldest moment, its repeats with its newest: never too much is
     // counted.
-    while (!slots_.empty() && slots_.front().at + window_ms_ + constants::kBudgetSlotMs <= now) {
+    while (!slots_.empty() && slots_.front().at + window_ms_ + kRetryBudgetSlotMs <= now) {
       spent_ -= slots_.front().spent;
       slots_.pop_front();
     }
@@ -46,8 +45,8 @@
       if (s.at + window_ms_ > now) break;
       firsts_ -= std::exchange(s.firsts, 0);
     }
-    if (slots_.empty() || now >= slots_.back().at + constants::kBudgetSlotMs)
-      slots_.push_back({now / constants::kBudgetSlotMs * constants::kBudgetSlotMs, 0, 0});
+    if (slots_.empty() || now >= slots_.back().at + kRetryBudgetSlotMs)
+      slots_.push_back({now / kRetryBudgetSlotMs * kRetryBudgetSlotMs, 0, 0});
     return slots_.back();
   }
   double ratio_, slack_ = 0;
--- a/src/sidecar/sidecar.cc
+++ b/src/sidecar/sidecar.cc
@@ -2,11 +2,14 @@
 // database beside it.
 #include <csignal>
 
-#include "base/constants.h"
+#include "base/clock.h"
 #include "base/log.h"
 #include "cli/command_registry.h"
+#include "membership/constants.h"
+#include "net/constants.h"
 #include "net/event_loop.h"
 #include "net/http.h"
+#include "pooler/constants.h"
 #include "proxy/agent_link.h"
 #include "settings/run_role.h"
 #include "sidecar/client_listener.h"
@@ -18,7 +21,6 @@
 namespace pebblespindle {
 namespace {
 
-using namespace constants;
 using namespace sidecar;
 
 class Sidecar : public OutPort, public InPort {
@@ -93,7 +95,7 @@
       log_.say(s ? "Settings read again." : "Settings not taken: " + s.status().message());
     });
     log_.say("Sidecar " + settings_.node_name + " serves beside " + settings_.target_service + ".");
-    loop_.every(kNodeRenewMs, [this] { renew(); });
+    loop_.every(kNodeRenewalMs, [this] { renew(); });
     feed_.start();
     loop_.run();
     return 0;
@@ -206,7 +208,7 @@
       renew();
     } else if (t == "grant") {
       lease_until_ =
-          std::max(lease_until_, m.value("at", Millis(0)) + m.value("ms", Millis(0)) - kDriftMarginMs);
+          std::max(lease_until_, m.value("at", Millis(0)) + m.value("ms", Millis(0)) - kClockDriftMarginMs);
       lease_number_ = m.value("k", std::uint64_t(0));
       out_.fleet(m.value("n", std::size_t(1)));
     } else if (t == "beaten") {
@@ -220,7 +222,7 @@
     log_.say("Asked to end: unready from now on.");
     leaving_ = true;
     auto& timers = loop_.timers();
-    timers.at(loop_.now() + std::min(kUnreadyNoticeMs, settings_.grace_ms / 2), [this] {
+    timers.at(loop_.now() + std::min(kUnreadinessNoticeMs, settings_.grace_ms / 2), [this] {
       front_.leave();
       end_if_empty();
     });
--- a/tests/config/config_delivery_test.cc
+++ b/tests/config/config_delivery_test.cc
@@ -8,7 +8,6 @@
 #include <memory>
 
 #include "agent/state_cache.h"
-#include "base/constants.h"
 #include "config/cluster_state.h"
 #include "config/update_validation.h"
 #include "replication/encoded_messages.h"
--- a/tests/config/update_cluster.h
+++ b/tests/config/update_cluster.h
@@ -5,7 +5,6 @@
 
 #include <memory>
 
-#include "base/constants.h"
 #include "config/applied_changes.h"
 #include "config/update_validation.h"
 #include "replication/encoded_messages.h"
@@ -16,7 +15,6 @@
 namespace pebblespindle::test::orders {
 
 using replication::Replica;
-using namespace constants;
 
 inline std::string whole(std::uint64_t revision, std::uint64_t salt, int routes = 1) {
   Json c{{"Revision", revision},
--- a/tests/config/update_simulation_test.cc
+++ b/tests/config/update_simulation_test.cc
@@ -6,6 +6,7 @@
 #include <cstdlib>
 
 #include "config/update_cluster.h"
+#include "replication/timing.h"
 
 namespace pebblespindle::test::orders {
 namespace {
@@ -164,7 +165,7 @@
       }
       if (!any_open) break;
       for (int n = 0; n < 12 && std::count(heard.begin(), heard.end(), 0); ++n)
-        ASSERT_NO_FATAL_FAILURE(p_.run(kSubmitGiveUpMs / 10));
+        ASSERT_NO_FATAL_FAILURE(p_.run(replication::kSubmitTimeoutMs / 10));
     }
     const std::uint64_t current = newest();
     for (std::size_t id = 0; id < heard.size(); ++id) {
--- a/tests/config/update_validation_test.cc
+++ b/tests/config/update_validation_test.cc
@@ -3,7 +3,9 @@
 
 #include <algorithm>
 
+#include "config/constants.h"
 #include "config/update_cluster.h"
+#include "replication/timing.h"
 
 namespace pebblespindle::test::orders {
 namespace {
@@ -35,7 +37,7 @@
   Desk d;
   std::vector<Order> taken{put(0, 2)};
   ASSERT_EQ(d.offer(taken[0]), 200);
-  for (std::uint64_t n = 1; n < kTakenKept; ++n) {
+  for (std::uint64_t n = 1; n < kAppliedChangesKept; ++n) {
     const std::uint64_t base = taken.back().revision;
     taken.push_back(n % 3 ? patch(base, base + 1 + n % 4, n) : put(base, base + 1 + n % 4, n));
     ASSERT_EQ(d.offer(taken.back()), 200) << n;
@@ -58,7 +60,7 @@
 TEST(Orders, TheRecordIsARingAndWhatItForgetsIsLeftUnclear) {
   Desk d;
   std::vector<Order> taken;
-  const std::size_t count = 2 * kTakenKept + 37;
+  const std::size_t count = 2 * kAppliedChangesKept + 37;
   for (std::uint64_t n = 0; n < count; ++n) {
     taken.push_back(put(n ? taken.back().revision : 0, 3 * n + 2, n));
     const std::uint64_t before = d.state.change_count();
@@ -66,10 +68,11 @@
     if (n > 0) {
       ASSERT_LE(d.state.change_count() - before, 3u) << "one row a change beside the body and the head";
     }
-    if (n % 499 == 0 || n + 5 > count || (n + 3) % kTakenKept < 6) {  // also around a new round of the ring
+    if (n % 499 == 0 || n + 5 > count ||
+        (n + 3) % kAppliedChangesKept < 6) {  // also around a new round of the ring
       auto newest = newest_taken(d.state);
       ASSERT_TRUE(newest && newest->place == n && newest->revision == 3 * n + 2) << n;
-      const std::size_t oldest = n < kTakenKept ? 0 : n - kTakenKept + 1;
+      const std::size_t oldest = n < kAppliedChangesKept ? 0 : n - kAppliedChangesKept + 1;
       ASSERT_EQ(d.again(taken[oldest]), 200);
       ASSERT_EQ(d.again(taken[(oldest + n) / 2]), 200);
       if (oldest > 0) {
@@ -82,7 +85,7 @@
   }
   std::size_t rows = 0;
   for (auto& r : d.state.rows_after(0)) rows += r.key.starts_with(kTakenKey);
-  EXPECT_EQ(rows, kTakenKept) << "the record is bounded, with what is gone";
+  EXPECT_EQ(rows, kAppliedChangesKept) << "the record is bounded, with what is gone";
 }
 
 TEST(Orders, TwoOrdersUnderOneRevisionAreToldApart) {
@@ -171,7 +174,7 @@
   EXPECT_EQ(f.again(put(6, 9)), 412);
   EXPECT_EQ(f.again(put(1, 2, 8)), 503);
   std::uint64_t r = 8;
-  for (std::size_t n = 1; n < kTakenKept; ++n, ++r) ASSERT_EQ(f.offer(put(r, r + 1)), 200);
+  for (std::size_t n = 1; n < kAppliedChangesKept; ++n, ++r) ASSERT_EQ(f.offer(put(r, r + 1)), 200);
   EXPECT_EQ(f.again(second), 200);
   ASSERT_TRUE(f.state.find(kTakenKey));
   ASSERT_EQ(f.offer(put(r, r + 1)), 200);
@@ -223,11 +226,11 @@
   const auto stored = p.at(head).state().last_sequence();
   while (p.at(next).state().last_sequence() < stored) p.run(1);
   p.net.cuts.insert({head, next});
-  p.run(kSubmitRetryMs / 2);
+  p.run(replication::kSubmitRetryMs / 2);
   // Word of the commit before comes once more, and makes the head look through what it has to answer.
   receive_encoded(p.at(head), p.net.now, next,
                   {{"t", "com"}, {"n", p.at(head).view().number}, {"k", stored}});
-  p.run(kSubmitRetryMs / 2);
+  p.run(replication::kSubmitRetryMs / 2);
   ASSERT_GT(p.at(head).state().last_sequence(), stored) << "the two were judged";
   ASSERT_EQ(newest_taken(p.at(head).state())->revision, 8u);
   EXPECT_EQ(answers, 0) << "an answer that rests on what may be lost";
@@ -269,7 +272,7 @@
     p.run(100);
     ASSERT_TRUE(p.orders[after].acknowledged);
     ASSERT_EQ(heard, -1);
-    p.run(kSubmitRetryMs);
+    p.run(replication::kSubmitRetryMs);
     EXPECT_EQ(heard, 200) << "taken and replaced since";
     EXPECT_EQ(p.history.size(), 3u);
   }
@@ -288,10 +291,10 @@
   std::vector<std::size_t> asked{p.draw(put(0, 9, 2)), p.draw(put(3, 8, 3)), p.draw(patch(3, 7, 4)),
                                  p.draw(put(3, 2, 5))};
   int clear = 0;
-  p.run(kCoreSilentMs);  // its lease has ended
+  p.run(replication::kPeerTimeoutMs);  // its lease has ended
   for (int n = 0; n < 4; ++n) {
     for (auto id : asked) p.offer(id, head, [&](int s) { clear += s != 0; });
-    p.run(kSubmitGiveUpMs + 50);
+    p.run(replication::kSubmitTimeoutMs + 50);
   }
   EXPECT_EQ(clear, 0);
   EXPECT_EQ(p.history.size(), 1u);
@@ -352,7 +355,7 @@
       int(all[all.size() * 99 / 100]), int(all.back()), refusals, on_newest);
   EXPECT_EQ(on_newest, 0) << "refused on top of the newest version";
   EXPECT_LT(one[one.size() / 2], 60) << "a message each way and a pass down the chain, twice";
-  EXPECT_LT(one.back(), kSubmitGiveUpMs);
+  EXPECT_LT(one.back(), replication::kSubmitTimeoutMs);
   EXPECT_LT(all[all.size() * 99 / 100], 4000);
 }
 
--- a/tests/failover/failover_cluster.h
+++ b/tests/failover/failover_cluster.h
@@ -5,8 +5,8 @@
 
 #include <random>
 
-#include "base/constants.h"
 #include "config/update_validation.h"
+#include "failover/constants.h"
 #include "failover/failover.h"
 #include "replication/simulated_network.h"
 
@@ -83,14 +83,14 @@
           if (g == generation) done(r);
         });
       };
-      if (d.dark) return answer(constants::kInfoTimeoutMs, {DbReply::Kind::kSilent, {}, {}});
+      if (d.dark) return answer(kInfoTimeoutMs, {DbReply::Kind::kSilent, {}, {}});
       if (!d.up) return answer(2, {DbReply::Kind::kRefused, {}, {}});
       if (resets > 0 && now > d.reset_at + 1000 && chance(resets))
         return d.reset_at = now, answer(2, {DbReply::Kind::kRefused, {}, {}});
       if (d.full) return answer(3, {DbReply::Kind::kError, {}, "CONNLIMIT"});
       if (late > 0 && chance(late)) {  // it gets there after the caller has given up
-        later(constants::kInfoTimeoutMs + Millis(rng() % 1500), [this, name, s] { obey(dbs[name], s); });
-        return answer(constants::kInfoTimeoutMs, {DbReply::Kind::kSilent, {}, {}});
+        later(kInfoTimeoutMs + Millis(rng() % 1500), [this, name, s] { obey(dbs[name], s); });
+        return answer(kInfoTimeoutMs, {DbReply::Kind::kSilent, {}, {}});
       }
       if (chance(0.03)) return answer(3, {DbReply::Kind::kError, {}, "THROTTLED"});
       if (s.starts_with("PAUSE")) {
@@ -115,7 +115,7 @@
       bool silent = chance(platform_trouble);
       if (platform_lag > 0) silent = true;
       later(300 + platform_lag, [this, id] { take_over(id.value); });
-      answer(silent ? constants::kPlatformTimeoutMs : 5, silent ? 0 : 200);
+      answer(silent ? kPlatformTimeoutMs : 5, silent ? 0 : 200);
     };
     out.submit = [this, g](Json u, std::function<void(Status)> done) {
       later(10, [this, g, u, done] {
--- a/tests/health/outlier_detector_test.cc
+++ b/tests/health/outlier_detector_test.cc
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-#include "base/constants.h"
+#include "health/constants.h"
 
 namespace pebblespindle::test {
 namespace {
@@ -20,7 +20,7 @@
   auto rows = l.databases(1300);
   ASSERT_EQ(rows.size(), 2u);
   EXPECT_EQ(rows[0]["failing_percent"], 50);
-  l.expire(1300 + constants::kSightLastsMs);
+  l.expire(1300 + kHealthReportTtlMs);
   ASSERT_EQ(told.size(), 2u);
   EXPECT_TRUE(l.databases(9000).empty());
 }
--- a/tests/membership/node_leases_test.cc
+++ b/tests/membership/node_leases_test.cc
@@ -2,7 +2,8 @@
 
 #include <gtest/gtest.h>
 
-#include "base/constants.h"
+#include "base/clock.h"
+#include "membership/constants.h"
 
 namespace pebblespindle::test {
 namespace {
@@ -10,13 +11,13 @@
 TEST(NodeLeases, CountsLeasesItDoesNotRemember) {
   NodeLeases r(1000);
   EXPECT_EQ(r.acknowledged(1100, 9), 0u) << "leases of a former life may still run";
-  Millis later = 1000 + constants::kNodeLeaseMs + constants::kDriftMarginMs;
+  Millis later = 1000 + kNodeLeaseMs + kClockDriftMarginMs;
   EXPECT_EQ(r.acknowledged(later, 9), 9u);
   r.renew(later, "n", "z", 4, true);
   EXPECT_EQ(r.acknowledged(later + 1, 9), 4u);
   r.renew(later + 10, "n", "z", 4, false);  // heard, but no lease was given: the old one runs out
-  EXPECT_EQ(r.acknowledged(later + constants::kNodeLeaseMs, 9), 4u);
-  EXPECT_EQ(r.acknowledged(later + constants::kNodeLeaseMs + constants::kDriftMarginMs, 9), 9u);
+  EXPECT_EQ(r.acknowledged(later + kNodeLeaseMs, 9), 4u);
+  EXPECT_EQ(r.acknowledged(later + kNodeLeaseMs + kClockDriftMarginMs, 9), 9u);
 }
 
 }  // namespace
--- a/tests/pooler/engine_answers_test.cc
+++ b/tests/pooler/engine_answers_test.cc
@@ -1,5 +1,8 @@
 // PoolerAnswers to their own callers, each suspicion by itself: the pool's connections, former borrowers,
 // former lives.
+#include "membership/constants.h"
+#include "net/constants.h"
+#include "pooler/constants.h"
 #include "pooler/control_feed.h"
 #include "pooler/manual_databases.h"
 
@@ -217,7 +220,7 @@
   q.say(1, "QUERY a FETCH k");
   ConnId id = q.at("a");
   q.engine.client_closed(1);
-  q.pass(constants::kServerConnectMs + 1);
+  q.pass(kServerConnectMs + 1);
   EXPECT_FALSE(q.lines[id].open);
 }
 
@@ -358,7 +361,7 @@
 TEST_F(PoolerAnswers, APreparedNameNeverStandsForAnotherShape) {
   q.connect(1);
   std::map<std::string, std::string> shapes;
-  for (std::size_t i = 0; i < constants::kMaxShapes + 300; ++i) {
+  for (std::size_t i = 0; i < kMaxPreparedNames + 300; ++i) {
     q.say(1, "QUERY p PREPARE n FETCH shape" + std::to_string(i));
     q.say(1, "QUERY a EXECUTE n k");
     ASSERT_TRUE(q.answer_to("a", {"COMPLETE 7.1", kRest}));
@@ -392,8 +395,8 @@
   q.connect(1);
   q.say(1, "QUERY a FETCH k");
   ASSERT_TRUE(q.answer_to("a", {"COMPLETE 7.1", kRest}));
-  for (Millis rested = 0; rested < 15000 * 4 / 5 + 100; rested += constants::kShedStepMs) {
-    q.pass(constants::kShedStepMs);
+  for (Millis rested = 0; rested < 15000 * 4 / 5 + 100; rested += kShedIntervalMs) {
+    q.pass(kShedIntervalMs);
     q.engine.shed_idle();
   }
   EXPECT_FALSE(q.ended.count(1));
@@ -406,7 +409,7 @@
 TEST_F(PoolerAnswers, WhatASessionKeepsAndSendsAheadIsBounded) {
   q.connect(1);
   q.news(1);
-  const std::string half(constants::kMaxSessionBytes / 2, 'x');
+  const std::string half(kMaxSessionBytes / 2, 'x');
   for (int i = 0; i < 5; ++i) q.say(1, "QUERY c CONFIGURE v " + half.substr(std::size_t(i)));
   q.say(1, "QUERY c CONFIGURE v y");
   EXPECT_EQ(q.news(1).find("STMTERR"), std::string::npos) << "what is replaced does not count";
@@ -416,7 +419,7 @@
   q.connect(2);
   q.say(2, "QUERY a FETCH k");
   EXPECT_FALSE(q.engine.pressed(2));
-  q.say(2, "QUERY b STORE k " + std::string(constants::kBackpressureBytes, 'x'));
+  q.say(2, "QUERY b STORE k " + std::string(kBackpressureBytes, 'x'));
   EXPECT_TRUE(q.engine.pressed(2));
 }
 
@@ -437,7 +440,7 @@
   EXPECT_EQ(w.told[1], "") << "a lease that was never asked for";
   grant(w.now, 1000000);
   EXPECT_EQ(w.told[1], "IDLE I -\r\n");
-  w.pass(constants::kNodeLeaseMs);
+  w.pass(kNodeLeaseMs);
   w.say(1, "QUERY a FETCH k");
   EXPECT_EQ(w.at("a"), 0u) << "no lease lasts longer than any";
 }
--- a/tests/pooler/engine_test.cc
+++ b/tests/pooler/engine_test.cc
@@ -1,4 +1,5 @@
 // Single behaviours of the pooler's engine, each against databases that a test answers for by hand.
+#include "pooler/constants.h"
 #include "pooler/manual_databases.h"
 
 namespace pebblespindle::test {
@@ -16,7 +17,7 @@
   ManualDatabases late;
   late.engine.client_open(1);
   late.say(1, "CONNECT prim a");
-  late.pass(constants::kFirstFeedMs + 1);
+  late.pass(kInitialFeedWaitMs + 1);
   EXPECT_TRUE(late.told[1].starts_with("STMTERR THROTTLED")) << late.told[1];
   EXPECT_TRUE(late.ended.count(1));
 }
@@ -26,7 +27,7 @@
   q.engine.client_open(1);
   q.say(1, "CONNECT prim a");
   q.feed();
-  q.pass(constants::kFirstFeedMs + 1);  // the lease is late: the session is greeted without it
+  q.pass(kInitialFeedWaitMs + 1);  // the lease is late: the session is greeted without it
   EXPECT_EQ(q.told[1], "IDLE I -\r\n");
   q.lease();
   EXPECT_EQ(q.told[1], "IDLE I -\r\n") << "an answer to nothing";
@@ -44,7 +45,7 @@
   q.feed(true);  // suspended while the write runs
   q.lease();
   EXPECT_LT(q.engine.acknowledged(), q.number) << "running work may end for a moment";
-  q.pass(constants::kSwitchDrainMs + 1);
+  q.pass(kHandOverDrainMs + 1);
   EXPECT_EQ(q.engine.acknowledged(), q.number);
   EXPECT_EQ(q.answer("COMPLETE 7.1"), 1);
   EXPECT_TRUE(q.told[1].starts_with("STMTERR UNKNOWN")) << q.told[1];
@@ -64,7 +65,7 @@
   q.pass(100);
   EXPECT_NE(q.told[1].find("STMTERR THROTTLED"), std::string::npos);
   EXPECT_TRUE(q.ended.count(1)) << "it can be served nowhere but at another node";
-  q.pass(constants::kUnleasedReadyMs);
+  q.pass(kUnleasedReadyMs);
   EXPECT_FALSE(q.engine.ready());
   q.engine.shed_idle();
   EXPECT_TRUE(q.ended.count(2));
@@ -85,7 +86,7 @@
     EXPECT_EQ(q.answer("COMPLETE 7.1"), 1);
     EXPECT_EQ(q.answer("COMPLETE 7.1"), 1);
     EXPECT_EQ(q.open_lines(), scarce ? 1u : 2u);
-    q.pass(constants::kShedStepMs);
+    q.pass(kShedIntervalMs);
     q.engine.shed_idle();
     EXPECT_EQ(q.open_lines(), scarce ? 1u : 2u);
   }
@@ -102,7 +103,7 @@
     q.engine.shed_idle();
     kept += double(q.open_lines());
   }
-  EXPECT_NEAR(kept / 200, constants::kKeptShare * 46 / 60, 0.1);
+  EXPECT_NEAR(kept / 200, kKeptConnectionShare * 46 / 60, 0.1);
 }
 
 // A node that has not asked a service of late asks its core how far the primary stands, so that a replica at
@@ -117,7 +118,7 @@
     q.say(1, "CONNECT bound a");
     auto read = [&] {
       q.say(1, "QUERY a FETCH k");
-      answered ? q.engine.position_asked("s", q.now - 900, Position{1, 2}) : q.pass(constants::kSoundMs);
+      answered ? q.engine.position_asked("s", q.now - 900, Position{1, 2}) : q.pass(kPositionQueryTimeoutMs);
       return q.answer("COMPLETE 7.1");
     };
     EXPECT_EQ(read(), answered ? 1 : 2);
@@ -125,7 +126,7 @@
     if (!answered) continue;
     q.engine.avoid({"db0"});  // its zone finds it failing
     EXPECT_NE(read(), 1);
-    q.pass(constants::kAvoidToldMs);
+    q.pass(kReportedEjectionMs);
     EXPECT_EQ(read(), 1) << "it is tried again";
   }
 }
--- a/tests/pooler/fleet_test.cc
+++ b/tests/pooler/fleet_test.cc
@@ -4,8 +4,8 @@
 
 #include <random>
 
-#include "base/constants.h"
 #include "config/cluster_state.h"
+#include "config/constants.h"
 #include "config/update_validation.h"
 #include "membership/position_cache.h"
 #include "pooler/freshness.h"
@@ -13,8 +13,6 @@
 namespace pebblespindle::test {
 namespace {
 
-using namespace constants;
-
 std::string configuration(std::uint64_t revision, int services, int routes, int timeout_of_first = 800) {
   Json c{{"Revision", revision}, {"Routes", Json::array()}, {"Services", Json::array()}};
   for (int i = 0; i < services; ++i) c["Services"].push_back({{"Name", "svc" + std::to_string(i)}});
@@ -86,7 +84,7 @@
   core.offer(config_update(2, configuration(3, services, 1800, 700)));
   auto grown = core.lines(node.number());
   EXPECT_LT(bytes(grown), 1400u * 100u);
-  for (auto& piece : grown) EXPECT_LT(piece.size(), 2 * kPieceBytes);
+  for (auto& piece : grown) EXPECT_LT(piece.size(), 2 * kFeedChunkBytes);
   EXPECT_GT(grown.size(), 3u);
   take(node, {grown.begin(), grown.end() - 1});
   EXPECT_EQ(node.config().revision, 2u) << "a feed that ends midway changes nothing";
--- a/tests/pooler/session_cluster.cc
+++ b/tests/pooler/session_cluster.cc
@@ -3,8 +3,6 @@
 
 #include <cstdlib>
 
-#include "base/constants.h"
-
 namespace pebblespindle::test {
 namespace {
 
--- a/tests/replication/faulty_cluster.h
+++ b/tests/replication/faulty_cluster.h
@@ -5,15 +5,16 @@
 #include <cstdlib>
 #include <memory>
 
+#include "agent/constants.h"
 #include "agent/state_cache.h"
 #include "config/config_delivery.h"
+#include "membership/constants.h"
 #include "replication/encoded_messages.h"
 #include "replication/replica_cluster.h"
+#include "replication/timing.h"
 
 namespace pebblespindle::test {
 
-using namespace constants;
-
 // Seeds of a run: the usual number, or as many as PEBBLESPINDLE_SEEDS asks for, from PEBBLESPINDLE_FIRST_SEED
 // on.
 inline std::uint32_t wish(const char* name, std::uint32_t usual) {
@@ -98,7 +99,8 @@
   void tells_of_today(Replica& node) {
     auto next = decided.upper_bound(node.view().number);
     if (next != decided.end()) {
-      ASSERT_LE(now() - next->second, kCoreSilentMs + 500) << node.self() << " redirects by an old view";
+      ASSERT_LE(now() - next->second, replication::kPeerTimeoutMs + 500)
+          << node.self() << " redirects by an old view";
     }
   }
   void hear(Hanger& x, const std::string& from, const Json& m) {
@@ -111,7 +113,7 @@
       net.send(x.name, x.core, {{"t", "got"}});
   }
   void tend(Hanger& x) {
-    if (x.core.empty() || now() - x.heard > kCoreSearchMs) {
+    if (x.core.empty() || now() - x.heard > kControllerTimeoutMs) {
       x.core = any();
       x.heard = now();
       x.hold.relinked();
@@ -129,7 +131,7 @@
     std::string expect = w.acked ? std::to_string(w.acked) : "";
     at(host).submit(asked, {{"key", w.key}, {"expect", expect}, {"value", std::to_string(w.value)}},
                     [this, &w, asked, value = w.value](Status a) {
-                      EXPECT_LE(now() - asked, kSubmitGiveUpMs + 20) << "no answer in time";
+                      EXPECT_LE(now() - asked, replication::kSubmitTimeoutMs + 20) << "no answer in time";
                       if (a.code() == StatusCode::kNoAnswer) return;
                       ++answered;
                       ASSERT_TRUE(a.is_ok() || w.acked >= value)
@@ -181,7 +183,7 @@
           decided.emplace(v.number, now());
         }
       for (auto& x : hangers)
-        if (now() >= x.renewed + kNodeRenewMs) x.renewed = now(), tend(x);
+        if (now() >= x.renewed + kNodeRenewalMs) x.renewed = now(), tend(x);
     }
     if (busy) {
       for (auto& w : writers)
--- a/tests/replication/replica_cluster.h
+++ b/tests/replication/replica_cluster.h
@@ -6,10 +6,10 @@
 #include <cstdlib>
 #include <memory>
 
-#include "base/constants.h"
 #include "replication/encoded_messages.h"
 #include "replication/replica.h"
 #include "replication/simulated_network.h"
+#include "replication/timing.h"
 #include "storage/memory_storage.h"
 
 namespace pebblespindle::test {
@@ -111,18 +111,18 @@
     int status = -1;
     at(host).submit(net.now, {{"key", key}, {"expect", expect}, {"value", value}},
                     [&status](Status a) { status = answer_code(a); });
-    run(constants::kSubmitGiveUpMs + 50);
+    run(replication::kSubmitTimeoutMs + 50);
     return status;
   }
   std::optional<std::string> read(const std::string& host, const std::string& key) {
     std::optional<std::string> out;
     at(host).read(net.now, key,
                   [&out](Result<std::optional<std::string>> read) { out = read ? *read : std::nullopt; });
-    run(constants::kSubmitGiveUpMs + 50);
+    run(replication::kSubmitTimeoutMs + 50);
     return out;
   }
   SimNet net;
-  std::size_t losses, piece_bytes = constants::kStatePieceBytes;
+  std::size_t losses, piece_bytes = replication::kStateChunkBytes;
   std::vector<std::string> hosts, seeds;
   std::map<std::string, std::unique_ptr<Core>> cores;
   std::map<std::uint64_t, Row> history;
--- a/tests/replication/replica_faults_test.cc
+++ b/tests/replication/replica_faults_test.cc
@@ -1,6 +1,7 @@
 // The core on its worst days, on the simulated network: the code of the process, and after each step what
 // must hold. docs/worst-days.md tells the argument; each guard named there has a test here that fails without
 // it.
+#include "controller/constants.h"
 #include "replication/encoded_messages.h"
 #include "replication/faulty_cluster.h"
 
@@ -254,7 +255,7 @@
 Millis end_in_order(Days& d, const std::string& one) {
   Millis since = d.now();
   d.at(one).begin_leaving(d.now());
-  while (!d.at(one).may_exit(d.now()) && d.now() < since + kHandOverMs && !testing::Test::HasFailure())
+  while (!d.at(one).may_exit(d.now()) && d.now() < since + kHandOverTimeoutMs && !testing::Test::HasFailure())
     d.go(20);
   d.at(one).stop(d.now());
   d.go(50);
--- a/tests/replication/replica_test.cc
+++ b/tests/replication/replica_test.cc
@@ -4,6 +4,7 @@
 
 #include "replication/encoded_messages.h"
 #include "replication/replica_cluster.h"
+#include "replication/timing.h"
 
 namespace pebblespindle::test {
 namespace {
@@ -178,7 +179,7 @@
     f.at(f.hosts[std::size_t(i) % 5])
         .submit(f.net.now, {{"key", "k" + std::to_string(i)}, {"expect", ""}, {"value", "v"}},
                 [&acked](Status a) { acked += a.is_ok(); });
-  f.run(constants::kSubmitGiveUpMs + 50);
+  f.run(replication::kSubmitTimeoutMs + 50);
   EXPECT_EQ(acked, offered);
   for (auto& h : f.hosts) {
     EXPECT_LE(f.cores[h]->rises, 20) << h;
--- a/tests/replication/state_transfer_test.cc
+++ b/tests/replication/state_transfer_test.cc
@@ -1,7 +1,9 @@
 // Catching up: a member is sent what it lacks, a newcomer a whole state in pieces, and half a state is never
 // used.
+#include "net/constants.h"
 #include "replication/encoded_messages.h"
 #include "replication/replica_cluster.h"
+#include "replication/timing.h"
 #include "seeds.h"
 
 namespace pebblespindle::test {
@@ -94,7 +96,7 @@
   f.run(2000);
   EXPECT_TRUE(f.stands("core2"));
   EXPECT_EQ(by_key(f.at("core2").state()), by_key(f.at("core0").state()));
-  EXPECT_LT(f.longest, constants::kMaxLinkBytes / 4);
+  EXPECT_LT(f.longest, kMaxLinkBytes / 4);
   EXPECT_LT(f.bytes["core2"], 900 * 10000 * 6 / 5) << "sent again";
   EXPECT_GT(changes, asked / 2) << "the chain stood still";
   // The lost one is put out, it joins, it votes: no more views than that.
@@ -179,9 +181,9 @@
   for (auto* host : {"core0", "core1"}) {
     f.at(host).compact(f.net.now, 1000);
     EXPECT_TRUE(f.at(host).state().find_including_deleted("b")) << "gone a moment ago";
-    f.at(host).compact(f.net.now + constants::kTrimAfterMs, 1);
+    f.at(host).compact(f.net.now + replication::kCompactAfterMs, 1);
     EXPECT_TRUE(f.at(host).state().find_including_deleted("b")) << "a node has not heard of it";
-    f.at(host).compact(f.net.now + 2 * constants::kTrimAfterMs, 1000);
+    f.at(host).compact(f.net.now + 2 * replication::kCompactAfterMs, 1000);
     EXPECT_FALSE(f.at(host).state().find_including_deleted("b"));
     EXPECT_FALSE(f.cores[host]->disk.stored_rows.count("b"));
   }
@@ -381,7 +383,7 @@
       for (auto& h : f.hosts)
         if (f.up(h) && f.net.chance(0.1)) {
           f.at(h).compact(f.net.now, ~0ull);
-          f.at(h).compact(f.net.now + constants::kTrimAfterMs, ~0ull);
+          f.at(h).compact(f.net.now + replication::kCompactAfterMs, ~0ull);
         }
     }
   }
--- a/tests/sidecar/answers_test.cc
+++ b/tests/sidecar/answers_test.cc
@@ -1,5 +1,6 @@
 // Answers to their own callers, requests at most once, promises that stay true: the mesh under everything
 // that may end a connection, a process or a database in the middle of its work.
+#include "sidecar/constants.h"
 #include "sidecar/instance_heartbeats.h"
 #include "sidecar/scripted_databases.h"
 
@@ -445,7 +446,7 @@
   beats.answered({"a"}, 0, 200);  // relayed again
   EXPECT_EQ(done, (std::vector<std::pair<std::string, int>>{{"beat", 200}}));
   beats.ask(500, {"a"}, InstanceHeartbeats::kEnd, to("end again"));
-  timers.run(constants::kBeatAnswerMs);  // the first one's time is up, the second one's is not
+  timers.run(kHeartbeatAnswerMs);  // the first one's time is up, the second one's is not
   EXPECT_EQ(done.back(), (std::pair<std::string, int>{"end", 503}));
   beats.answered({"a"}, InstanceHeartbeats::kEnd, 200);
   EXPECT_EQ(done.back(), (std::pair<std::string, int>{"end again", 200}));
--- a/tests/sidecar/sidecar_fuzz_test.cc
+++ b/tests/sidecar/sidecar_fuzz_test.cc
@@ -7,6 +7,7 @@
 
 #include "config/update_validation.h"
 #include "sidecar/app_response_reader.h"
+#include "sidecar/constants.h"
 #include "sidecar/frame.h"
 #include "sidecar/inbound.h"
 #include "sidecar/outbound.h"
@@ -519,7 +520,7 @@
     }
     for (CallId id = 1; id <= 6; ++id) ASSERT_EQ(caller.answers[id], 1) << "call " << id;
     ASSERT_EQ(caller.out.open_calls(), 0u);
-    b.step(2 * constants::kMostWaitMs);
+    b.step(2 * kMaxWaitMs);
     ASSERT_EQ(b.in.busy(), 0u);
   }
 }
