--- a/src/config/applied_changes.cc
+++ b/src/config/applied_changes.cc
@@ -11,7 +11,6 @@
 namespace pebblespindle {
 namespace {
 
-
 std::string key_of(std::uint64_t place) {
   return kTakenKey + "/" + std::to_string(place % kAppliedChangesKept);
 }
--- a/src/config/update_validation.cc
+++ b/src/config/update_validation.cc
@@ -19,7 +19,7 @@
   Configuration in_place;
   if (const Row* head = state.find(kConfigHeadKey)) enter_part(in_place, head->key, &head->value, {});
   const std::uint64_t current = in_place.revision;
-  const ValidationResult another{Status::conflict("the version in place is " + std::to_string(current)), {}};
+  ValidationResult another{Status::conflict("the version in place is " + std::to_string(current)), {}};
   if (base < current) {
     // One that was taken, and perhaps replaced since, is answered as taken: whoever offers it again has not
     // heard.
@@ -29,8 +29,7 @@
       return {Status::unavailable("version " + std::to_string(base) + " is no longer on record"), {}};
     return another;
   }
-  const ValidationResult on_its_way{Status::unavailable(another.status.message()),
-                                    {}};  // what it builds on may be
+  ValidationResult on_its_way{Status::unavailable(another.status.message()), {}};  // what it builds on may be
   std::string body;
   if (patch) {
     auto wrong = base > current ? wrong_with_patch(sent) : std::string();
--- a/src/controller/control_api.cc
+++ b/src/controller/control_api.cc
@@ -19,7 +19,7 @@
     done(std::move(reply));
     loop_.rearm();
   };
-  const std::string kInstances = "/instances/";
+  const std::string prefix = "/instances/";
   if (r.path == "/configuration" && (r.method == "PUT" || r.method == "PATCH")) return on_config(r, answer);
   if (r.path == "/configuration" && r.method == "GET") {
     return replica_->read(loop_.now(), kConfigKey, [answer](Result<std::optional<std::string>> read) {
@@ -29,8 +29,8 @@
       answer({200, *body, {}});
     });
   }
-  if (r.path.starts_with(kInstances) && r.path.size() > kInstances.size()) {
-    std::string id = r.path.substr(kInstances.size());
+  if (r.path.starts_with(prefix) && r.path.size() > prefix.size()) {
+    std::string id = r.path.substr(prefix.size());
     if (r.method == "PUT") return on_beat(id, r, answer);
     if (r.method == "DELETE") {
       if (!may_grant()) return answer(plain(503, "out of the view"));
--- a/src/failover/failover.cc
+++ b/src/failover/failover.cc
@@ -411,7 +411,7 @@
   // What one that left took along is nowhere but in the log of the primary. Nodes pass no commit on as kept
   // meanwhile, so to let the others receive lets nothing be acknowledged.
   for (auto& [id, position] : job.logs) {
-    bool here = std::any_of(whom.begin(), whom.end(), [&](auto& i) { return i.id == id; });
+    bool here = std::any_of(whom.begin(), whom.end(), [&, name = id](auto& i) { return i.id == name; });
     if (here || !must_have_all || !former || position <= *furthest || !job.committed.none()) continue;
     out_.note("Failover of " + service + " waits: " + id.value + " has ended and had received " +
               position.text() + ", the others " + furthest->text() + ".");
--- a/src/net/http.cc
+++ b/src/net/http.cc
@@ -35,9 +35,9 @@
 }
 
 std::string head_fields(const std::map<std::string, std::string>& headers, std::size_t body_size) {
-  std::string s;
-  for (auto& [name, value] : headers) s += name + ": " + value + "\r\n";
-  return s + "Content-Length: " + std::to_string(body_size) + "\r\n\r\n";
+  std::string fields;
+  for (auto& [name, value] : headers) fields.append(name).append(": ").append(value).append("\r\n");
+  return fields + "Content-Length: " + std::to_string(body_size) + "\r\n\r\n";
 }
 
 class ServerConn : public std::enable_shared_from_this<ServerConn> {
--- a/src/net/http_reader.h
+++ b/src/net/http_reader.h
@@ -27,6 +27,7 @@
   enum class Kind { kRequests, kResponses };
   enum class State { kMore, kDone, kBad, kHeadTooLong, kBodyTooLong };
   HttpReader(Kind kind, std::size_t head_bytes, std::size_t body_bytes);
+  ~HttpReader() = default;
   HttpReader(const HttpReader&) = delete;
   HttpReader& operator=(const HttpReader&) = delete;
 
--- a/src/pooler/engine_routing.cc
+++ b/src/pooler/engine_routing.cc
@@ -6,7 +6,6 @@
 #include "pooler/engine.h"
 
 namespace pebblespindle::pooler {
-using sql_protocol::Verb;
 
 // --- the control state ---------------------------------------------------------
 
--- a/src/pooler/engine_statements.cc
+++ b/src/pooler/engine_statements.cc
@@ -31,14 +31,15 @@
     bool extra = c.values_unsure || c.prepared.size() > kMaxPreparedPerConnection;
     for (auto& [name, value] : c.values) extra = extra || !s.values.count(name);
     if (extra) {
-      c.script.push_back("RESET");
+      c.script.emplace_back("RESET");
       c.values.clear();
       c.prepared.clear();
     }
   }
   for (auto& [name, value] : s.values) {
     auto it = c.values.find(name);
-    if (it == c.values.end() || it->second != value) c.script.push_back("CONFIGURE " + name + " " + value);
+    if (it == c.values.end() || it->second != value)
+      c.script.push_back(std::string("CONFIGURE ").append(name).append(" ").append(value));
   }
   if (!w.prepared_key.empty() && !c.prepared.count(w.prepared_key)) {
     // A name never stands for another shape, also not once the list has grown too long and starts anew.
--- a/src/pooler/pooler.cc
+++ b/src/pooler/pooler.cc
@@ -37,7 +37,7 @@
       log_.say("The settings name no Frontend or no Readiness listener.");
       return 1;
     }
-    auto http = HttpServer::listen(loop_.io(), ready->second, [this](HttpRequest r, HttpDone done) {
+    auto http = HttpServer::listen(loop_.io(), ready->second, [this](const HttpRequest& r, HttpDone done) {
       if (r.path != "/readiness") return done({404, "", {}});
       touch();
       done({engine_.ready() ? 200 : 503, "", {}});
--- a/src/replication/replica.cc
+++ b/src/replication/replica.cc
@@ -22,6 +22,7 @@
 
 std::vector<ReplicaId> ids_of(const std::vector<View::Member>& members) {
   std::vector<ReplicaId> ids;
+  ids.reserve(members.size());
   for (auto& member : members) ids.push_back(member.id);
   return ids;
 }
--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -8,7 +8,7 @@
 namespace pebblespindle {
 namespace {
 
-const char* kSchema = R"({
+const char* schema_text = R"({
   "type": "object",
   "required": ["NodeName", "IpAddress", "Zone", "Listeners", "InternalPortRange", "SeedNodes"],
   "properties": {
@@ -47,7 +47,7 @@
   auto parsed = parse_json(text);
   if (!parsed) return parsed.status();
   const Json& j = *parsed;
-  static const Schema schema(kSchema);
+  static const Schema schema(schema_text);
   if (auto wrong = schema.check(j); !wrong.empty()) return Status::invalid_argument(wrong);
   Settings s;
   s.node_name = j["NodeName"];
--- a/src/sidecar/inbound.cc
+++ b/src/sidecar/inbound.cc
@@ -306,11 +306,10 @@
   if (good) {
     silent_ = 0;
     down_ = trial_ = false;
-  } else if (silent && ++silent_ >= kSilencesUntilDown) {
-    set_down();
-  } else if (trial_ || failed_ >= kFailuresUntilDown) {
-    set_down();
+    return;
   }
+  const bool too_silent = silent && ++silent_ >= kSilencesUntilDown;
+  if (too_silent || trial_ || failed_ >= kFailuresUntilDown) set_down();
 }
 
 // It takes nothing until one request has been answered; who waits is told at once.
--- a/src/sidecar/pipeline.cc
+++ b/src/sidecar/pipeline.cc
@@ -61,8 +61,12 @@
 }
 
 std::string Pipeline::answer(CallId id, Reply r) {
-  for (auto& p : places_)
-    if (p.id == id && !p.done) p.done = true, p.reply = std::move(r);
+  auto place = std::find_if(places_.begin(), places_.end(),
+                            [&](auto& waiting) { return waiting.id == id && !waiting.done; });
+  if (place != places_.end()) {
+    place->done = true;
+    place->reply = std::move(r);
+  }
   return flush();
 }
 
--- a/src/sidecar/sidecar.cc
+++ b/src/sidecar/sidecar.cc
@@ -78,14 +78,15 @@
     };
     if (settings_.inner_last < settings_.inner_first + 2)
       return refuse("InternalPortRange: wants three ports.");
-    auto ready = HttpServer::listen(loop_.io(), listener("Readiness"), [this](HttpRequest r, HttpDone done) {
-      if (r.path != "/readiness") return done({404, "", {}});
-      done({cluster_.fed() && !leaving_ ? 200 : 503, "", {}});
-    });
+    auto ready =
+        HttpServer::listen(loop_.io(), listener("Readiness"), [this](const HttpRequest& r, HttpDone done) {
+          if (r.path != "/readiness") return done({404, "", {}});
+          done({cluster_.fed() && !leaving_ ? 200 : 503, "", {}});
+        });
     if (!ready) return refuse(ready.status().message());
-    auto control =
-        HttpServer::listen(loop_.io(), listener("ControlPlane"),
-                           [this](HttpRequest r, HttpDone done) { on_beat(std::move(r), std::move(done)); });
+    auto control = HttpServer::listen(
+        loop_.io(), listener("ControlPlane"),
+        [this](const HttpRequest& r, HttpDone done) { on_beat(std::move(r), std::move(done)); });
     if (!control) return refuse(control.status().message());
     if (auto why = links_.listen(settings_.sidecar()); !why.empty()) return refuse(why);
     if (auto why = front_.listen(listener("OutboundAddr")); !why.empty()) return refuse(why);
@@ -150,10 +151,10 @@
 
   // --- the database's beats -----------------------------------------------------
 
-  void on_beat(HttpRequest r, HttpDone done) {
-    const std::string kInstances = "/instances/";
-    if (!r.path.starts_with(kInstances) || r.path.size() == kInstances.size()) return done({404, "", {}});
-    InstanceId id{r.path.substr(kInstances.size())};
+  void on_beat(const HttpRequest& r, HttpDone done) {
+    const std::string prefix = "/instances/";
+    if (!r.path.starts_with(prefix) || r.path.size() == prefix.size()) return done({404, "", {}});
+    InstanceId id{r.path.substr(prefix.size())};
     touch();
     if (r.method == "DELETE") {
       if (in_.database() && in_.database()->id == id) in_.database(std::nullopt);
--- a/src/storage/sqlite_store.cc
+++ b/src/storage/sqlite_store.cc
@@ -69,7 +69,7 @@
 Status SqliteStore::commit(const WriteBatch& batch) {
   if (!run("BEGIN")) return last_error();
   if (apply(batch) && run("COMMIT")) return Status::ok();
-  const Status error = last_error();
+  Status error = last_error();
   run("ROLLBACK");
   return error;
 }
--- a/src/storage/sqlite_store.h
+++ b/src/storage/sqlite_store.h
@@ -17,6 +17,8 @@
   // system's own. kCorruption: the file is damaged and will not get better; kIoError: it may succeed later.
   static Result<std::unique_ptr<SqliteStore>> open(const std::string& path, const char* vfs = nullptr);
   ~SqliteStore() override;
+  SqliteStore(const SqliteStore&) = delete;
+  SqliteStore& operator=(const SqliteStore&) = delete;
 
   Status commit(const WriteBatch& batch) override;
   Status reopen() override;
