--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -358,7 +358,7 @@
   } else if (kind == "sound") {
     const std::string service = m.value("s", "");
     Json a{{"t", "depth"}, {"s", service}, {"at", m.value("at", Json())}};
-    if (auto d = met_positions_.ask(now, service)) a["p"] = d->position.text(), a["age"] = d->age;
+    if (auto d = met_positions_.find(now, service)) a["p"] = d->position.text(), a["age"] = d->age;
     t->conn->send(a.dump() + "\n");
   } else if (kind == "full") {
     tighten({m.value("id", "")}, t.get());
@@ -398,7 +398,7 @@
   } else if (kind == "beat" || kind == "leave") {
     on_relayed_beat(t, m);
   } else if (kind == "bye") {
-    node_leases_.left(t->node);
+    node_leases_.remove(t->node);
     tell_peers(false);
   } else if (kind == "status") {
     t->conn->send(status(false).dump() + "\n");
@@ -410,7 +410,8 @@
   if (met.value("life", std::uint64_t(0)) != life_) return;  // the clock of another core, or of a former life
   for (auto& e : met.at("p")) {
     auto p = Position::parse(e.at(1).get<std::string>());
-    if (!cluster_.primary_of(e.at(0)) || (p && met_positions_.report(loop_.now(), e.at(0), *p, e.at(2))))
+    if (!cluster_.primary_of(e.at(0)) ||
+        (p && met_positions_.report(loop_.now(), e.at(0), *p, e.at(2)).is_ok()))
       continue;
     return log_.say("A position told by " + t.node + " cannot be; it is dropped.");
   }
@@ -477,7 +478,7 @@
 // The other cores hear how many nodes hang here and what they all have acknowledged.
 void Controller::tell_peers(bool always) {
   Millis now = loop_.now();
-  std::uint64_t acked = node_leases_.acknowledged(now, replica_->state().last_sequence());
+  std::uint64_t acked = node_leases_.acknowledged_by_all(now, replica_->state().last_sequence());
   std::size_t nodes = node_leases_.count(now);
   cluster_.follow(replica_->state());
   bool holding = std::any_of(cluster_.primaries().begin(), cluster_.primaries().end(),
@@ -496,7 +497,7 @@
   Millis now = loop_.now();
   // A core put out lately may have granted leases that still run.
   if (now < replica_->member_removed_at() + kNodeLeaseMs + kClockDriftMarginMs) return false;
-  if (node_leases_.acknowledged(now, replica_->state().last_sequence()) < number) return false;
+  if (node_leases_.acknowledged_by_all(now, replica_->state().last_sequence()) < number) return false;
   for (auto& m : replica_->view().members) {
     if (m.id == replica_->self()) continue;
     auto p = peers_.find(replication::host_of(m.id));
--- a/src/controller/status_report.cc
+++ b/src/controller/status_report.cc
@@ -15,7 +15,7 @@
   Json zones = Json::object(), behind = Json::array(), suspended = Json::array(), leaving = Json::array();
   for (auto& [name, e] : node_leases_.nodes()) {
     zones[e.zone] = zones.value(e.zone, 0) + 1;
-    if (e.acked < replica_->committed()) behind.push_back(name);
+    if (e.acknowledged < replica_->committed()) behind.push_back(name);
   }
   ClusterState cluster;
   cluster.follow(replica_->state());
@@ -29,7 +29,8 @@
   Json rights = quota_allocator_->sums();  // by tenant, thousandths of an operation, here
   if (whole) {
     for (auto& [name, e] : node_leases_.nodes())
-      nodes["all"][name] = {{"zone", e.zone}, {"acknowledged", e.acked}, {"lease_ms", e.until - now}};
+      nodes["all"][name] = {
+          {"zone", e.zone}, {"acknowledged", e.acknowledged}, {"lease_ms", e.expires_at - now}};
     for (auto& [id, i] : cluster.instances())
       databases["all"].push_back({{"id", id.value},
                                   {"service", i.service},
--- a/src/membership/node_leases.cc
+++ b/src/membership/node_leases.cc
@@ -7,29 +7,29 @@
 
 namespace pebblespindle {
 
-void NodeLeases::renew(Millis now, const std::string& node, const std::string& zone, std::uint64_t acked,
-                       bool granted) {
-  auto& e = nodes_[node];
-  e.zone = zone;
-  e.acked = acked;  // a restarted node starts again from what it holds now
-  if (granted) e.until = now + kNodeLeaseMs + kClockDriftMarginMs;
+void NodeLeases::renew(Instant now, const std::string& node, const std::string& zone,
+                       SequenceNumber acknowledged, bool granted) {
+  Entry& entry = nodes_[node];
+  entry.zone = zone;
+  entry.acknowledged = acknowledged;  // a restarted node starts again from what it holds now
+  if (granted) entry.expires_at = now + kNodeLeaseMs + kClockDriftMarginMs;
 }
 
-void NodeLeases::expire(Millis now) {
-  std::erase_if(nodes_, [&](auto& n) { return n.second.until <= now; });
+void NodeLeases::expire(Instant now) {
+  std::erase_if(nodes_, [&](auto& node) { return node.second.expires_at <= now; });
 }
 
-std::uint64_t NodeLeases::acknowledged(Millis now, std::uint64_t all) const {
-  if (now < born_ + kNodeLeaseMs + kClockDriftMarginMs) return 0;
-  std::uint64_t least = all;
-  for (auto& [name, e] : nodes_)
-    if (e.until > now) least = std::min(least, e.acked);
-  return least;
+SequenceNumber NodeLeases::acknowledged_by_all(Instant now, SequenceNumber highest) const {
+  if (now < started_ + kNodeLeaseMs + kClockDriftMarginMs) return 0;
+  SequenceNumber lowest = highest;
+  for (auto& [name, entry] : nodes_)
+    if (entry.expires_at > now) lowest = std::min(lowest, entry.acknowledged);
+  return lowest;
 }
 
-std::size_t NodeLeases::count(Millis now) const {
+std::size_t NodeLeases::count(Instant now) const {
   return std::size_t(
-      std::count_if(nodes_.begin(), nodes_.end(), [&](auto& n) { return n.second.until > now; }));
+      std::count_if(nodes_.begin(), nodes_.end(), [&](auto& node) { return node.second.expires_at > now; }));
 }
 
 }  // namespace pebblespindle
--- a/src/membership/node_leases.h
+++ b/src/membership/node_leases.h
@@ -1,4 +1,8 @@
-// The leases of the nodes that hold a link to this core, and what they have acknowledged.
+// The leases of the nodes that hold a link to this controller, and what they have acknowledged.
+//
+// A node serves traffic only while its lease runs, and it acknowledges with each renewal up to which change
+// it holds the state. So a change that all nodes with a lease have acknowledged is in force everywhere: the
+// failover waits for that before it promotes (docs/design.md). All calls come from one event loop.
 #pragma once
 #include <map>
 #include <string>
@@ -9,27 +13,28 @@
 
 class NodeLeases {
  public:
-  explicit NodeLeases(Millis born) : born_(born) {}
-
-  // A node renews; granted tells whether this core may give leases just now.
-  void renew(Millis now, const std::string& node, const std::string& zone, std::uint64_t acked, bool granted);
-  void left(const std::string& node) { nodes_.erase(node); }
-  void expire(Millis now);
-
-  // The lowest change that every node with a lease of this core has acknowledged; `all` when there is none.
-  // For one lease after its start a core does not know what it granted before, and answers 0.
-  std::uint64_t acknowledged(Millis now, std::uint64_t all) const;
-  std::size_t count(Millis now) const;
+  explicit NodeLeases(Instant started) : started_(started) {}
 
   struct Entry {
     std::string zone;
-    std::uint64_t acked = 0;
-    Millis until = 0;
+    SequenceNumber acknowledged = 0;
+    Instant expires_at = 0;  // by this controller's clock; the node counts from when it asked, so earlier
   };
-  const std::map<std::string, Entry>& nodes() const { return nodes_; }
+
+  // granted: whether this controller may give leases just now; if not, the former one runs on.
+  void renew(Instant now, const std::string& node, const std::string& zone, SequenceNumber acknowledged,
+             bool granted);
+  void remove(const std::string& node) { nodes_.erase(node); }
+  void expire(Instant now);
+
+  // The lowest change that every node with a lease has acknowledged; `highest` when there is no node. For one
+  // lease after its start a controller does not know what a former process granted, and answers 0.
+  SequenceNumber acknowledged_by_all(Instant now, SequenceNumber highest) const;
+  std::size_t count(Instant now) const;
+  const std::map<std::string, Entry>& nodes() const { return nodes_; }  // by name
 
  private:
-  Millis born_;
+  Instant started_;
   std::map<std::string, Entry> nodes_;
 };
 
--- a/tests/membership/node_leases_test.cc
+++ b/tests/membership/node_leases_test.cc
@@ -9,15 +9,15 @@
 namespace {
 
 TEST(NodeLeases, CountsLeasesItDoesNotRemember) {
-  NodeLeases r(1000);
-  EXPECT_EQ(r.acknowledged(1100, 9), 0u) << "leases of a former life may still run";
+  NodeLeases leases(1000);
+  EXPECT_EQ(leases.acknowledged_by_all(1100, 9), 0u) << "leases of a former process may still run";
   Millis later = 1000 + kNodeLeaseMs + kClockDriftMarginMs;
-  EXPECT_EQ(r.acknowledged(later, 9), 9u);
-  r.renew(later, "n", "z", 4, true);
-  EXPECT_EQ(r.acknowledged(later + 1, 9), 4u);
-  r.renew(later + 10, "n", "z", 4, false);  // heard, but no lease was given: the old one runs out
-  EXPECT_EQ(r.acknowledged(later + kNodeLeaseMs, 9), 4u);
-  EXPECT_EQ(r.acknowledged(later + kNodeLeaseMs + kClockDriftMarginMs, 9), 9u);
+  EXPECT_EQ(leases.acknowledged_by_all(later, 9), 9u);
+  leases.renew(later, "n", "z", 4, true);
+  EXPECT_EQ(leases.acknowledged_by_all(later + 1, 9), 4u);
+  leases.renew(later + 10, "n", "z", 4, false);  // heard, but no lease was given: the old one runs out
+  EXPECT_EQ(leases.acknowledged_by_all(later + kNodeLeaseMs, 9), 4u);
+  EXPECT_EQ(leases.acknowledged_by_all(later + kNodeLeaseMs + kClockDriftMarginMs, 9), 9u);
 }
 
 }  // namespace
--- a/tests/pooler/fleet_test.cc
+++ b/tests/pooler/fleet_test.cc
@@ -123,10 +123,10 @@
       commits.push_back(now);
       later(500, [&, c = now + core_clock] { ahead = c - (now + a_clock + 1); });  // a grant to A
       later(300, [&, asked = now + a_clock, p = Position{1, commits.size()}] {  // A's answer of the primary
-        later(800, [&, stamp = asked + ahead, p] { core.report(now + core_clock, "s", p, stamp); });
+        later(800, [&, stamp = asked + ahead, p] { (void)core.report(now + core_clock, "s", p, stamp); });
       });
       later(400, [&, at = now + b_clock] {  // B asks the core
-        if (auto d = core.ask(now + core_clock, "s"))
+        if (auto d = core.find(now + core_clock, "s"))
           later(400, [&, at, d] { fresh.observe(at - d->age, d->position), ++answers; });
       });
     };
