--- a/src/controller/control_api.cc
+++ b/src/controller/control_api.cc
@@ -77,7 +77,7 @@
     done({200, beat_answer(i), {}});
     if (i.primary) {
       if (replica_->is_leader(loop_.now()))
-        failover_->told(loop_.now(), i);
+        failover_->on_heartbeat(loop_.now(), i);
       else
         send(replica_->view().head(), {{"t", "told"}, {"id", i.id.value}, {"v", encode_instance(i)}});
     }
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -38,14 +38,15 @@
   start.incarnation = life_ = std::uint64_t(random()) << 32 | random();
   quota_allocator_ = std::make_unique<quota::QuotaAllocator>(settings_.ip + "/" + std::to_string(life_));
   replica_ = std::make_unique<replication::Replica>(std::move(start), *disk_, *this, loop_.now());
-  failover::Failover::Out out;
-  out.holds = [this] { return replica_->is_leader(loop_.now()); };
-  out.token = [this] {
+  failover::FailoverCallbacks out;
+  out.is_leader = [this] { return replica_->is_leader(loop_.now()); };
+  out.fencing_token = [this] {
     auto& v = replica_->view();
     return v.head() == replica_->self() ? v.term : 0;
   };
-  out.ask = [this](const Instance& i, const std::string& s, std::function<void(failover::DbReply)> done) {
-    db_.ask(i, s, [this, id = i.id, done = std::move(done)](failover::DbReply r) {
+  out.query = [this](const Instance& i, const std::string& s,
+                     std::function<void(failover::DatabaseReply)> done) {
+    db_.ask(i, s, [this, id = i.id, done = std::move(done)](failover::DatabaseReply r) {
       if (r.error.starts_with("CONNLIMIT")) tighten(id, nullptr);
       done(std::move(r));
     });
@@ -69,9 +70,9 @@
   out.submit = [this](Json u, std::function<void(Status)> done) {
     replica_->submit(loop_.now(), std::move(u), std::move(done));
   };
-  out.all_acknowledged = [this](std::uint64_t n) { return all_acknowledged(n); };
-  out.members = [this] { return members(); };
-  out.note = [this](const std::string& s) { note(s); };
+  out.acknowledged_by_all_nodes = [this](std::uint64_t n) { return all_acknowledged(n); };
+  out.node_count = [this] { return members(); };
+  out.log_event = [this](const std::string& s) { note(s); };
   db_.may_act = [this] { return replica_->is_leader(loop_.now()); };
   failover_ = std::make_unique<failover::Failover>(replica_->state(), std::move(out));
 }
@@ -302,7 +303,7 @@
     tight_[id] = now;
     tell_nodes("tight", id.value);
   } else if (t == "told") {
-    if (auto i = decode_instance({m.value("id", "")}, m.value("v", ""))) failover_->told(now, *i);
+    if (auto i = decode_instance({m.value("id", "")}, m.value("v", ""))) failover_->on_heartbeat(now, *i);
   } else {
     auto message = replication::decode(m);
     if (!message) return false;
@@ -384,7 +385,7 @@
     }
     feed(*t);
     tell_peers(false);
-    if (failover_->busy()) failover_->tick(now);  // it may wait for this acknowledgement
+    if (failover_->is_under_way()) failover_->tick(now);  // it may wait for this acknowledgement
   } else if (kind == "sus") {
     Json report = m;
     report["z"] = t->zone;
@@ -428,12 +429,12 @@
   InstanceId id{report.value("id", "")};
   const std::string node = report.value("n", "");
   if (report.value("ok", false))
-    failover_->cleared(now, id, node);
+    failover_->suspicions().clear_missing(id, node);
   else if (report.value("slow", false))
-    failover_->slow(now, id, report.value("z", ""), node);
+    failover_->suspicions().report_slow(now, id, report.value("z", ""), node);
   else
-    failover_->suspect(now, id, report.value("z", ""), node, report.value("r", false),
-                       report.value("once", false));
+    failover_->suspicions().report_missing(now, id, report.value("z", ""), node, report.value("r", false),
+                                           report.value("once", false));
   failover_->tick(now);
 }
 
--- a/src/controller/database_client.cc
+++ b/src/controller/database_client.cc
@@ -4,18 +4,18 @@
 #include "net/constants.h"
 
 namespace pebblespindle {
-using failover::DbReply;
+using failover::DatabaseReply;
 
 void DatabaseClient::ask(const Instance& to, const std::string& statement,
-                         std::function<void(DbReply)> done) {
+                         std::function<void(DatabaseReply)> done) {
   auto& line = lines_[to.id];
   bool fresh = !line;
   if (fresh) line = std::make_shared<Line>();
   LinePtr l = line;
   l->used = loop_.now();
   l->calls.push_back({statement, std::move(done), 0});
-  l->calls.back().timer = loop_.timers().at(loop_.now() + kInfoTimeoutMs,
-                                            [this, id = to.id, l] { fail(id, l, DbReply::Kind::kSilent); });
+  l->calls.back().timer = loop_.timers().at(
+      loop_.now() + kInfoTimeoutMs, [this, id = to.id, l] { fail(id, l, DatabaseReply::Kind::kSilent); });
   loop_.rearm();
   if (fresh)
     connect(to, l);
@@ -33,12 +33,12 @@
         }
         if (!conn) {
           bool silent = ec == asio::error::operation_aborted || ec == asio::error::timed_out;
-          return fail(to.id, line, silent ? DbReply::Kind::kSilent : DbReply::Kind::kRefused);
+          return fail(to.id, line, silent ? DatabaseReply::Kind::kSilent : DatabaseReply::Kind::kRefused);
         }
         line->conn = conn;
         conn->start(
             {[this, id = to.id, line](std::string_view text) { on_line(id, line, text); },
-             [this, id = to.id, line](LineConnection::End) { fail(id, line, DbReply::Kind::kRefused); },
+             [this, id = to.id, line](LineConnection::End) { fail(id, line, DatabaseReply::Kind::kRefused); },
              [this] { loop_.rearm(); }});
         conn->send("CONNECT " + to.service + " controller " + to.id.value + "\r\n");
       });
@@ -46,9 +46,9 @@
 
 void DatabaseClient::send_first(const InstanceId& id, const LinePtr& line) {
   if (line->calls.front().statement != "INFO" && may_act && !may_act())
-    return fail(id, line, DbReply::Kind::kSilent);
+    return fail(id, line, DatabaseReply::Kind::kSilent);
   line->reply = {};
-  line->reply.kind = DbReply::Kind::kError;
+  line->reply.kind = DatabaseReply::Kind::kError;
   line->conn->send(sql_protocol::query("-", line->calls.front().statement));
 }
 
@@ -57,7 +57,7 @@
   if (!line->ready) {
     if (word != "IDLE") {
       line->reply.error = std::string(text);
-      return fail(id, line, DbReply::Kind::kError);
+      return fail(id, line, DatabaseReply::Kind::kError);
     }
     line->ready = true;
     if (!line->calls.empty()) send_first(id, line);
@@ -65,7 +65,7 @@
   }
   if (word == "DATAROW") {
     if (auto info = sql_protocol::parse_info(text)) {
-      line->reply.kind = DbReply::Kind::kRow;
+      line->reply.kind = DatabaseReply::Kind::kRow;
       line->reply.info = *info;
     }
   } else if (word == "STMTERR") {
@@ -74,13 +74,13 @@
     Call call = std::move(line->calls.front());
     line->calls.erase(line->calls.begin());
     loop_.timers().cancel(call.timer);
-    DbReply reply = line->reply;
+    DatabaseReply reply = line->reply;
     if (!line->calls.empty()) send_first(id, line);
     call.done(reply);
   }
 }
 
-void DatabaseClient::fail(const InstanceId& id, const LinePtr& line, DbReply::Kind kind) {
+void DatabaseClient::fail(const InstanceId& id, const LinePtr& line, DatabaseReply::Kind kind) {
   auto it = lines_.find(id);
   if (it != lines_.end() && it->second == line) lines_.erase(it);
   if (line->conn) line->conn->close();
--- a/src/controller/database_client.h
+++ b/src/controller/database_client.h
@@ -12,7 +12,8 @@
 class DatabaseClient {
  public:
   explicit DatabaseClient(EventLoop& loop) : loop_(loop) {}
-  void ask(const Instance& to, const std::string& statement, std::function<void(failover::DbReply)> done);
+  void ask(const Instance& to, const std::string& statement,
+           std::function<void(failover::DatabaseReply)> done);
   // Asked right before anything but a question goes out: a process that was frozen while it connected may
   // have lost the duty since.
   std::function<bool()> may_act;
@@ -21,21 +22,21 @@
  private:
   struct Call {
     std::string statement;
-    std::function<void(failover::DbReply)> done;
+    std::function<void(failover::DatabaseReply)> done;
     TimerQueue::Id timer = 0;
   };
   struct Line {
     LineConnection::Ptr conn;
     bool ready = false;
     std::vector<Call> calls;  // the first is under way
-    failover::DbReply reply;
+    failover::DatabaseReply reply;
     Millis used = 0;
   };
   using LinePtr = std::shared_ptr<Line>;
   void connect(const Instance& to, const LinePtr& line);
   void on_line(const InstanceId& id, const LinePtr& line, std::string_view text);
   void send_first(const InstanceId& id, const LinePtr& line);
-  void fail(const InstanceId& id, const LinePtr& line, failover::DbReply::Kind kind);
+  void fail(const InstanceId& id, const LinePtr& line, failover::DatabaseReply::Kind kind);
   EventLoop& loop_;
   std::map<InstanceId, LinePtr> lines_;
 };
--- a/src/failover/failover.cc
+++ b/src/failover/failover.cc
@@ -3,78 +3,50 @@
 #include <algorithm>
 
 #include "base/clock.h"
-#include "config/command_validation.h"
+#include "config/commands.h"
 #include "failover/constants.h"
 #include "membership/constants.h"
 
 namespace pebblespindle::failover {
 
+// --- what is known
+// --------------------------------------------------------------------------------------------
+
 const ClusterState& Failover::cluster() {
-  if (!cluster_.follow(state_)) return cluster_;
-  std::erase_if(known_, [&](auto& k) {
-    if (cluster_.instance(k.first)) return false;
-    departed_.push_back({k.second, now_});
-    return true;
-  });
-  for (auto& [id, i] : cluster_.instances()) known_[id] = i;
+  if (cluster_.follow(state_)) departed_.follow(now_, cluster_);
   return cluster_;
 }
 
-std::vector<Instance> Failover::members(const std::string& service) {
-  std::vector<Instance> out;
-  for (auto* i : cluster().instances_of(service)) out.push_back(*i);
-  return out;
+std::optional<PrimaryAssignment> Failover::assignment(const std::string& service) {
+  const PrimaryAssignment* current = cluster().primary_of(service);
+  return current ? std::optional(*current) : std::nullopt;
 }
 
-// One that has told of its end goes on receiving until it ends: what it has received counts, unless the
-// primary tells what does. One that leads is asked in any case.
-std::vector<Instance> Failover::receivers(const std::string& service, const Job& job) {
-  auto out = members(service);
-  auto l = lead(service);
-  std::erase_if(departed_, [&](auto& d) {
-    return now_ > d.since + kDepartedDatabaseMs || (d.gone() && now_ > d.since + kDepartedUnqueriedMs);
-  });
-  for (auto& d : departed_) {
-    if (d.instance.service != service) continue;
-    if (!job.committed.none() && !(l && d.instance.id == l->primary)) continue;
-    out.push_back(d.instance);
-    out.back().draining = true;
-  }
-  return out;
-}
-
-Failover::Departed* Failover::departed(const InstanceId& id) {
-  auto d = std::find_if(departed_.begin(), departed_.end(), [&](auto& x) { return x.instance.id == id; });
-  return d == departed_.end() ? nullptr : &*d;
-}
-
-// What those that leave have answered: their logs, and whether they have ended. A single refusal may be the
-// reset of a connection.
-void Failover::note_departing(const std::string& service, Job& job) {
-  for (auto& i : receivers(service, job)) {
-    auto r = job.replies.find(i.id);
-    if (r == job.replies.end()) continue;
-    bool row = r->second.kind == DbReply::Kind::kRow;
-    if (row && !r->second.info.primary) job.logs[i.id] = std::max(job.logs[i.id], r->second.info.received);
-    if (Departed* d = departed(i.id)) {
-      if (r->second.error.starts_with("WRONGNODE"))
-        d->refusals = kRefusalsUntilGone;
-      else if (r->second.kind == DbReply::Kind::kRefused)
-        ++d->refusals;
-      else
-        d->refusals = 0;
-    }
-  }
+std::optional<Instance> Failover::instance(const InstanceId& id) {
+  const Instance* known = cluster().instance(id);
+  return known ? std::optional(*known) : std::nullopt;
 }
 
-std::optional<PrimaryAssignment> Failover::lead(const std::string& service) {
-  const PrimaryAssignment* l = cluster().primary_of(service);
-  return l ? std::optional(*l) : std::nullopt;
+std::vector<Instance> Failover::databases(const std::string& service) {
+  std::vector<Instance> databases;
+  for (auto* database : cluster().instances_of(service)) databases.push_back(*database);
+  return databases;
 }
 
-std::optional<Instance> Failover::instance(const InstanceId& id) {
-  const Instance* i = cluster().instance(id);
-  return i ? std::optional(*i) : std::nullopt;
+// Those that have told of their end count too, unless the primary tells what it has committed. One that is
+// the primary is asked in any case.
+std::vector<Instance> Failover::receivers(const std::string& service, const Operation& operation) {
+  auto receivers = databases(service);
+  const auto current = assignment(service);
+  departed_.expire(now_);
+  for (auto& departed : departed_.all()) {
+    if (departed.instance.service != service) continue;
+    const bool is_primary = current && departed.instance.id == current->primary;
+    if (!operation.committed.none() && !is_primary) continue;
+    receivers.push_back(departed.instance);
+    receivers.back().draining = true;
+  }
+  return receivers;
 }
 
 int Failover::sync_replicas(const std::string& service) {
@@ -83,515 +55,592 @@
   return it == services.end() ? 1 : it->second.sync_replicas;
 }
 
-bool Failover::busy() const {
-  return std::any_of(jobs_.begin(), jobs_.end(), [](auto& j) { return j.second.step != Step::kIdle; });
+bool Failover::is_under_way() const {
+  return std::any_of(operations_.begin(), operations_.end(),
+                     [](auto& entry) { return entry.second.step != Step::kIdle; });
 }
 
-void Failover::go(Job& job, Step step) {
-  job.step = step;
-  job.since = now_;
-  ++job.round;
-}
+// --- the course of an operation
+// -------------------------------------------------------------------------------
 
-void Failover::again(Millis now, Job& job) {
-  go(job, Step::kHolding);
-  job.retry_at = now + kFailoverRetryMs;
+void Failover::enter(Operation& operation, Step step) {
+  operation.step = step;
+  operation.since = now_;
+  ++operation.round;
 }
 
-void Failover::suspect(Millis now, const InstanceId& id, const std::string& zone, const std::string& node,
-                       bool refused, bool once) {
-  auto& r = reports_[id];
-  r.nodes[node] = {zone, now, once};
-  if (refused) r.refused = now;
+void Failover::retry_later(Operation& operation) {
+  enter(operation, Step::kWaitingForNodes);
+  operation.retry_at = now_ + kFailoverRetryMs;
 }
 
-void Failover::cleared(Millis, const InstanceId& id, const std::string& node) {
-  auto r = reports_.find(id);
-  if (r != reports_.end()) r->second.nodes.erase(node);
+void Failover::log(const std::string& service, const std::string& event) {
+  callbacks_.log_event("failover " + event + " service=" + service);
 }
 
-void Failover::slow(Millis now, const InstanceId& id, const std::string& zone, const std::string& node) {
-  reports_[id].slow[node] = {zone, now};
-}
-
-// Half of the nodes, in more than one zone, find it slow: it is the database, not a link.
-bool Failover::found_slow(const std::string& service, const InstanceId& id) {
-  auto r = reports_.find(id);
-  if (r == reports_.end()) return false;
-  std::erase_if(r->second.slow, [&](auto& n) { return n.second.second < now_ - kSlowReportTtlMs; });
-  std::set<std::string> zones;
-  for (auto& [node, report] : r->second.slow) zones.insert(report.first);
-  auto last = handed_over_.find(service);
-  if (last != handed_over_.end() && now_ < last->second + kSlowHandOverIntervalMs) return false;
-  if (zones.size() < 2 || 2 * r->second.slow.size() < out_.members()) {
-    r->second.agreed_since = -1;
-    return false;
-  }
-  if (r->second.agreed_since < 0) r->second.agreed_since = now_;
-  return now_ >= r->second.agreed_since + kSlowAgreementMs;  // a stall passes by itself
+void Failover::query_all(const std::string& service, Operation& operation,
+                         const std::vector<Instance>& instances, const std::string& statement,
+                         void (Failover::*then)(const std::string&, Operation&)) {
+  operation.replies.clear();
+  operation.awaited = instances.size();
+  const std::uint64_t round = operation.round;
+  for (auto& queried : instances)
+    callbacks_.query(queried, statement,
+                     [this, service, round, id = queried.id, then](const DatabaseReply& reply) {
+                       Operation& current = operations_[service];
+                       if (current.round != round) return;
+                       current.replies[id] = reply;
+                       if (--current.awaited == 0) (this->*then)(service, current);
+                     });
 }
 
-std::size_t Failover::zones_missing(const InstanceId& id) {
-  auto& r = reports_[id];
-  std::erase_if(r.nodes, [&](auto& n) { return n.second.at < now_ - kSuspectWindowMs; });
-  // One missed answer of one node says little; of several nodes, as much as several of one.
-  bool many = r.nodes.size() >= kMinNodesMissingOnce;
-  std::set<std::string> zones;
-  for (auto& [node, miss] : r.nodes)
-    if (many || !miss.once) zones.insert(miss.zone);
-  return zones.size();
-}
-
-void Failover::told(Millis now, const Instance& i) {
+void Failover::on_heartbeat(Instant now, const Instance& instance) {
   now_ = now;
-  auto job = jobs_.find(i.service);
-  if (job != jobs_.end() && job->second.step == Step::kAwaiting && i.primary &&
-      job->second.successor == i.id) {
-    job->second.told = true;
-    tick(now);
-  }
+  auto it = operations_.find(instance.service);
+  if (it == operations_.end() || it->second.step != Step::kAwaitingPrimary) return;
+  if (!instance.primary || it->second.successor != instance.id) return;
+  it->second.successor_heard = true;
+  tick(now);
 }
 
-void Failover::tick(Millis now) {
+void Failover::tick(Instant now) {
   now_ = now;
   cluster();
-  if (std::uint64_t token = out_.token(); token != token_) {  // the duty has been another's meanwhile
-    token_ = token;
-    jobs_.clear();
+  if (const std::uint64_t token = callbacks_.fencing_token(); token != token_) {
+    token_ = token;  // the duty has been another's meanwhile
+    operations_.clear();
     releases_.clear();
   }
-  if (!out_.holds()) return;  // with a change of view it comes back in a moment
+  if (!callbacks_.is_leader()) return;  // with a change of view it comes back in a moment
   std::vector<std::string> services;
-  for (auto& [service, l] : cluster().primaries()) services.push_back(service);
-  for (auto& s : services) {
-    consider(now, s, jobs_[s]);
-    release(now, s);
+  for (auto& [service, current] : cluster().primaries()) services.push_back(service);
+  for (auto& service : services) {
+    advance(service, operations_[service]);
+    release(service);
   }
 }
 
-void Failover::consider(Millis now, const std::string& service, Job& job) {
-  auto l = lead(service);
-  if (!l) return;
-  switch (job.step) {
-    case Step::kIdle: {
-      if (l->suspended) {  // taken over from another holder, or just begun
-        job.held_number = state_.find(primary_key(service))->sequence;
-        job.held_since = now;
-        job.called = true;  // another holder may have called
-        return go(job, Step::kHolding);
-      }
-      if (now < job.retry_at) return;
-      auto primary = instance(l->primary);
-      auto& all = cluster().instances_of(service);
-      bool other = std::any_of(all.begin(), all.end(), [&](auto* i) { return i->id != l->primary; });
-      bool successor =
-          std::any_of(all.begin(), all.end(), [&](auto* i) { return i->id != l->primary && !i->draining; });
-      // One that has told of its end and still runs tells what it has committed.
-      Departed* left = primary ? nullptr : departed(l->primary);
-      bool runs = left && !left->gone() && now <= left->since + kDepartedDatabaseMs;
-      if (runs && !successor) return;
-      if (!primary && other) return begin(now, service, *l, runs, "the primary has left");
-      if (!primary) return;
-      // Where all others are leaving, one of them takes over from a dead primary all the same: it alone can
-      // hand its log on, while it runs.
-      if (!other) return;
-      if (primary->draining && successor) return begin(now, service, *l, true, "the primary is leaving");
-      if (successor && found_slow(service, l->primary)) {
-        handed_over_[service] = now;
-        return begin(now, service, *l, true, "the primary is slow");
-      }
-      auto rep = reports_.find(l->primary);
-      if (rep == reports_.end()) return;
-      auto& r = rep->second;
-      bool refused = r.refused > now - kSuspectWindowMs;
-      std::size_t zones = zones_missing(l->primary);
-      if (zones == 0 || r.asking || now < r.quiet_until) return;
-      if (!refused && zones < 2) return;
-      r.asking = true;
-      out_.ask(*primary, "INFO", [this, service, lead = *l](DbReply reply) {
-        auto& rr = reports_[lead.primary];
-        rr.asking = false;
-        if (reply.kind == DbReply::Kind::kRow || reply.kind == DbReply::Kind::kError) {
-          rr = {};
-          rr.quiet_until = now_ + kSuspectQuietMs;
-          return;
-        }
-        // Silence counts only while nodes of two zones still miss every answer: a link may be at fault.
-        bool dead = reply.kind == DbReply::Kind::kRefused || zones_missing(lead.primary) >= 2;
-        if (!dead) return;
-        rr = {};
-        auto current = this->lead(service);
-        if (current && !current->suspended && current->primary == lead.primary && out_.holds())
-          begin(now_, service, *current, false,
-                reply.kind == DbReply::Kind::kRefused ? "the primary refuses connections"
-                                                      : "the primary is silent");
-      });
+void Failover::advance(const std::string& service, Operation& operation) {
+  const auto current = assignment(service);
+  if (!current) return;
+  switch (operation.step) {
+    case Step::kIdle:
+      return consider_failover(service, operation, *current);
+    case Step::kSuspending:
       return;
-    }
-    case Step::kAsking:
+    case Step::kWaitingForNodes: {
+      if (now_ < operation.retry_at) return;
+      // Whoever gives leases had stored the suspension when it was committed: older leases have ended by
+      // then.
+      const bool leases_ended = now_ >= operation.suspended_at + kNodeLeaseMs + 2 * kClockDriftMarginMs;
+      if (leases_ended || callbacks_.acknowledged_by_all_nodes(operation.suspension))
+        survey(service, operation);
       return;
-    case Step::kHolding: {
-      if (now < job.retry_at) return;
-      // Whoever gives leases had stored the suspension when it was committed: older leases have ended by now.
-      bool expired = now >= job.held_since + kNodeLeaseMs + 2 * kClockDriftMarginMs;
-      if (!expired && !out_.all_acknowledged(job.held_number)) return;
-      return survey(now, service, job);
     }
-    case Step::kPromoting:
-    case Step::kSurvey:
+    case Step::kSurveying:
     case Step::kPausing:
-    case Step::kFinishing:
-      if (now > job.since + 4 * kPlatformTimeoutMs) again(now, job);  // an answer went missing
+    case Step::kPromoting:
+    case Step::kAnnouncing:
+      if (now_ > operation.since + 4 * kPlatformTimeoutMs) retry_later(operation);  // an answer went missing
       return;
-    case Step::kAwaiting:
-      if (job.told || now >= job.since + kPromoteCheckMs) confirm_lead(now, service, job);
+    case Step::kAwaitingPrimary:
+      if (operation.successor_heard || now_ >= operation.since + kPromoteCheckMs)
+        confirm_successor(service, operation);
       return;
   }
 }
 
-void Failover::begin(Millis now, const std::string& service, const PrimaryAssignment& l, bool planned,
-                     const std::string& why) {
-  auto& job = jobs_[service];
+// --- whether a failover is due
+// --------------------------------------------------------------------------------
+
+void Failover::consider_failover(const std::string& service, Operation& operation,
+                                 const PrimaryAssignment& current) {
+  if (current.suspended) {  // taken over from another controller, or just begun
+    operation.suspension = state_.find(primary_key(service))->sequence;
+    operation.suspended_at = now_;
+    operation.promote_called = true;  // the other one may have called
+    return enter(operation, Step::kWaitingForNodes);
+  }
+  if (now_ < operation.retry_at) return;
+  if (consider_departed_primary(service, current)) return;
+  const auto primary = instance(current.primary);
+  const auto& all = cluster().instances_of(service);
+  const bool has_other =
+      std::any_of(all.begin(), all.end(), [&](auto* other) { return other->id != current.primary; });
+  // Where all others are leaving, one of them takes over from a dead primary all the same: it alone can hand
+  // its log on, while it runs.
+  if (!primary || !has_other) return;
+  const bool has_successor = std::any_of(
+      all.begin(), all.end(), [&](auto* other) { return other->id != current.primary && !other->draining; });
+  if (primary->draining && has_successor) return begin(service, current, true, "the primary is leaving");
+  if (has_successor && is_slow(service, current.primary)) {
+    handed_over_for_slowness_[service] = now_;
+    return begin(service, current, true, "the primary is slow");
+  }
+  if (suspicions_.should_query(now_, current.primary)) query_suspect(service, *primary, current);
+}
+
+// True when nothing else is to be considered: it has left.
+bool Failover::consider_departed_primary(const std::string& service, const PrimaryAssignment& current) {
+  if (instance(current.primary)) return false;
+  const auto& all = cluster().instances_of(service);
+  const bool has_successor =
+      std::any_of(all.begin(), all.end(), [](auto* other) { return !other->draining; });
+  // One that has told of its end and still runs tells what it has committed.
+  const DepartedDatabase* departed = departed_.find(current.primary);
+  const bool runs = departed && !departed->is_gone() && now_ <= departed->since + kDepartedDatabaseMs;
+  if (!all.empty() && (has_successor || !runs)) begin(service, current, runs, "the primary has left");
+  return true;
+}
+
+bool Failover::is_slow(const std::string& service, const InstanceId& primary) {
+  auto last = handed_over_for_slowness_.find(service);
+  if (last != handed_over_for_slowness_.end() && now_ < last->second + kSlowHandOverIntervalMs) return false;
+  return suspicions_.nodes_agree_slow(now_, primary, callbacks_.node_count());
+}
+
+void Failover::query_suspect(const std::string& service, const Instance& primary,
+                             const PrimaryAssignment& current) {
+  suspicions_.on_query_sent(current.primary);
+  callbacks_.query(primary, "INFO", [this, service, id = current.primary](const DatabaseReply& reply) {
+    on_suspect_reply(service, id, reply);
+  });
+}
+
+void Failover::on_suspect_reply(const std::string& service, const InstanceId& primary,
+                                const DatabaseReply& reply) {
+  suspicions_.on_query_ended(primary);
+  if (reply.kind == DatabaseReply::Kind::kRow || reply.kind == DatabaseReply::Kind::kError)
+    return suspicions_.on_query_answered(now_, primary);
+  // Silence counts only while nodes of two zones still miss every answer: a link may be at fault.
+  const bool refused = reply.kind == DatabaseReply::Kind::kRefused;
+  if (!refused && suspicions_.zones_missing(now_, primary) < 2) return;
+  suspicions_.clear(primary);
+  const auto current = assignment(service);
+  if (current && !current->suspended && current->primary == primary && callbacks_.is_leader())
+    begin(service, *current, false, refused ? "the primary refuses connections" : "the primary is silent");
+}
+
+// --- suspension
+// -----------------------------------------------------------------------------------------------
+
+void Failover::begin(const std::string& service, const PrimaryAssignment& current, bool planned,
+                     const std::string& reason) {
+  Operation& operation = operations_[service];
   const Row* row = state_.find(primary_key(service));
   if (!row) return;
-  out_.note("Failover of " + service + " begins: " + why + " (" + l.primary.value + ").");
-  PrimaryAssignment next = l;
+  log(service, "begins: " + reason + ", primary=" + current.primary.value);
+  PrimaryAssignment next = current;
   next.suspended = true;
   next.releasing = false;
   next.planned = planned;
-  job = Job{};
-  job.since = now;
-  go(job, Step::kAsking);
-  std::uint64_t round = job.round;
-  out_.submit(assign_primary(service, row->value, next), [this, service, round](Status) {
-    auto& j = jobs_[service];
-    if (j.step != Step::kAsking || j.round != round) return;
-    auto current = lead(service);
-    if (!current || !current->suspended) {
-      j.retry_at = now_ + kFailoverRetryMs;
-      return go(j, Step::kIdle);
-    }
-    j.held_number = state_.find(primary_key(service))->sequence;
-    j.held_since = now_;
-    go(j, Step::kHolding);
-    consider(now_, service, j);
-  });
+  operation = Operation{};
+  enter(operation, Step::kSuspending);
+  const std::uint64_t round = operation.round;
+  callbacks_.submit(assign_primary(service, row->value, next),
+                    [this, service, round](const Status&) { on_suspended(service, round); });
 }
 
-void Failover::ask_all(const std::string& service, Job& job, const std::vector<Instance>& whom,
-                       const std::string& statement, std::function<void()> then) {
-  job.replies.clear();
-  job.awaited = whom.size();
-  std::uint64_t round = job.round;
-  for (auto& i : whom)
-    out_.ask(i, statement, [this, service, round, id = i.id, then](DbReply r) {
-      auto& j = jobs_[service];
-      if (j.round != round) return;
-      j.replies[id] = r;
-      if (--j.awaited == 0) then();
-    });
+// However the submission ended: the state alone says whether the service is suspended.
+void Failover::on_suspended(const std::string& service, std::uint64_t round) {
+  Operation& operation = operations_[service];
+  if (operation.step != Step::kSuspending || operation.round != round) return;
+  const auto current = assignment(service);
+  if (!current || !current->suspended) {
+    operation.retry_at = now_ + kFailoverRetryMs;
+    return enter(operation, Step::kIdle);
+  }
+  operation.suspension = state_.find(primary_key(service))->sequence;
+  operation.suspended_at = now_;
+  enter(operation, Step::kWaitingForNodes);
+  advance(service, operation);
 }
 
+// --- survey
+// ---------------------------------------------------------------------------------------------------
+
 // Learns the newest term, and whether someone leads already.
-void Failover::survey(Millis now, const std::string& service, Job& job) {
-  go(job, Step::kSurvey);
-  auto l = lead(service);
-  if (!l) return;
+void Failover::survey(const std::string& service, Operation& operation) {
+  enter(operation, Step::kSurveying);
+  const auto current = assignment(service);
+  if (!current) return;
   // A primary that is said to be alive is waited for: what it has committed must not be left behind. One that
   // may be dead is asked as well, but not waited for: what it has acknowledged is on the replicas.
-  bool wait = l->planned && !job.called && job.blind < kMaxUnknownPositionAttempts;
-  job.committed = {};  // what a primary told that has died since leaves out what others have received
-  auto whom = receivers(service, job);
-  if (wait) std::erase_if(whom, [&](auto& i) { return i.id != l->primary && !instance(i.id); });
-  if (!wait) {
-    for (auto& i : whom)
-      if (i.id == l->primary) {
-        std::uint64_t round = job.round;
-        out_.ask(i, "INFO", [this, service, round, id = i.id](DbReply r) {
-          auto& j = jobs_[service];
-          if (j.round == round && j.step == Step::kSurvey) j.replies[id] = r;
-        });
-      }
-    std::erase_if(whom, [&](auto& i) { return i.id == l->primary; });
+  const bool wait_for_primary = current->planned && !operation.promote_called &&
+                                operation.position_unknown < kMaxUnknownPositionAttempts;
+  operation.committed = {};  // what a primary told that has died since leaves out what others have received
+  auto queried = receivers(service, operation);
+  if (wait_for_primary) {
+    std::erase_if(queried, [&](auto& each) { return each.id != current->primary && !instance(each.id); });
+  } else {
+    const std::uint64_t round = operation.round;
+    for (auto& each : queried) {
+      if (each.id != current->primary) continue;
+      callbacks_.query(each, "INFO", [this, service, round, id = each.id](const DatabaseReply& reply) {
+        Operation& latest = operations_[service];
+        if (latest.round == round && latest.step == Step::kSurveying) latest.replies[id] = reply;
+      });
+    }
+    std::erase_if(queried, [&](auto& each) { return each.id == current->primary; });
   }
-  if (whom.empty()) return again(now, job);
-  ask_all(service, job, whom, "INFO", [this, service] { surveyed(now_, service, jobs_[service]); });
-}
-
-void Failover::surveyed(Millis now, const std::string& service, Job& job) {
-  auto l = lead(service);
-  if (!l || !l->suspended) return go(job, Step::kIdle);
-  std::uint64_t newest = l->term, old_term = 0;
-  InstanceId leader;
-  std::uint64_t leader_term = 0;
-  note_departing(service, job);
-  for (auto& [id, r] : job.replies) {
-    // Its address is another's by now: the database of that name is no more.
-    if (r.error.starts_with("WRONGNODE")) out_.submit(remove_instance(id), [](Status) {});
-    if (r.kind != DbReply::Kind::kRow) continue;
-    newest = std::max({newest, r.info.term, r.info.received.term, r.info.held});
-    const std::uint64_t known = std::max(l->term, job.follow_term);
-    if (id == l->primary && r.info.primary && known > 0 && r.info.term > known) {
-      leader = id, leader_term = r.info.term;  // it has been replaced and promoted again
+  if (queried.empty()) return retry_later(operation);
+  query_all(service, operation, queried, "INFO", &Failover::on_surveyed);
+}
+
+// What those that leave have answered: their logs, and whether they have ended.
+void Failover::note_departing(const std::string& service, Operation& operation) {
+  for (auto& receiver : receivers(service, operation)) {
+    auto reply = operation.replies.find(receiver.id);
+    if (reply == operation.replies.end()) continue;
+    const DatabaseReply& answer = reply->second;
+    if (answer.kind == DatabaseReply::Kind::kRow && !answer.info.primary) {
+      Position& received = operation.received[receiver.id];
+      received = std::max(received, answer.info.received);
+    }
+    if (DepartedDatabase* departed = departed_.find(receiver.id)) departed->on_reply(answer);
+  }
+}
+
+Failover::SurveyResult Failover::read_survey(const PrimaryAssignment& current, Operation& operation) {
+  SurveyResult result;
+  result.newest_term = current.term;
+  for (auto& [id, reply] : operation.replies) {
+    if (reply.is_wrong_node()) callbacks_.submit(remove_instance(id), [](const Status&) {});
+    if (reply.kind != DatabaseReply::Kind::kRow) continue;
+    const auto& info = reply.info;
+    result.newest_term = std::max({result.newest_term, info.term, info.received.term, info.held});
+    if (!info.primary) continue;
+    if (id != current.primary) {
+      if (info.term > result.leader_term) {
+        result.leader = id;
+        result.leader_term = info.term;
+      }
       continue;
     }
-    if (id == l->primary && r.info.primary) {
-      old_term = r.info.term;
-      // Once a promote may have been called, it is the logs of all who received that count: what the primary
-      // has stored since, and nobody was told of, is no reason to let the others go on.
-      if (!job.called) job.committed = r.info.received;
+    const std::uint64_t known_term = std::max(current.term, operation.follow_term);
+    if (known_term > 0 && info.term > known_term) {  // it was replaced and promoted again
+      result.leader = id;
+      result.leader_term = info.term;
+      continue;
     }
-    if (id != l->primary && r.info.primary && r.info.term > leader_term)
-      leader = id, leader_term = r.info.term;
+    result.former_primary_term = info.term;
+    // Once a promote may have been called, it is the logs of all who received that count: what the primary
+    // has stored since, and nobody was told of, is no reason to let the others go on.
+    if (!operation.promote_called) operation.committed = info.received;
   }
+  return result;
+}
+
+void Failover::on_surveyed(const std::string& service, Operation& operation) {
+  const auto current = assignment(service);
+  if (!current || !current->suspended) return enter(operation, Step::kIdle);
+  note_departing(service, operation);
+  const SurveyResult result = read_survey(*current, operation);
   // Whoever still leads a term that has been followed by another has missed the promote, not won it.
-  if (!leader.empty() && leader_term > std::max(old_term, l->term))
-    return announce(now, service, job, leader, leader_term);
-  if (newest == 0) return again(now, job);  // nobody told a term
-  bool alive = job.alive = old_term > 0;
-  if (!alive && l->planned && !job.called && ++job.blind < kMaxUnknownPositionAttempts)
-    return again(now, job);
-  if (alive && !l->planned && !job.called) return abandon(now, service, job);
-  auto old = job.replies.find(l->primary);
-  job.follows = old != job.replies.end() && old->second.kind == DbReply::Kind::kRow && !alive;
-  if (job.follows) job.follow_term = std::max(job.follow_term, newest);
-  std::vector<Instance> whom;
-  for (auto& i : receivers(service, job))
-    if (i.id != l->primary || job.follows) whom.push_back(i);
-  if (whom.empty()) return again(now, job);
-  std::vector<Instance> former;
-  for (auto& i : whom)
-    if (auto r = job.replies.find(i.id); r != job.replies.end() && r->second.info.primary)
-      former.push_back(i);
-  if (!former.empty()) {
-    ++job.round;
-    return ask_all(service, job, former, "STEPDOWN " + std::to_string(newest),
-                   [this, service] { again(now_, jobs_[service]); });
+  if (!result.leader.empty() && result.leader_term > std::max(result.former_primary_term, current->term))
+    return announce(service, operation, result.leader, result.leader_term);
+  if (result.newest_term == 0) return retry_later(operation);  // nobody told a term
+  const bool alive = operation.primary_alive = result.former_primary_term > 0;
+  const bool may_be_waited_for = !alive && current->planned && !operation.promote_called;
+  if (may_be_waited_for && ++operation.position_unknown < kMaxUnknownPositionAttempts)
+    return retry_later(operation);
+  if (alive && !current->planned && !operation.promote_called) return abandon(service, operation);
+  auto former = operation.replies.find(current->primary);
+  operation.primary_follows =
+      former != operation.replies.end() && former->second.kind == DatabaseReply::Kind::kRow && !alive;
+  if (operation.primary_follows) operation.follow_term = std::max(operation.follow_term, result.newest_term);
+  operation.term = result.newest_term;
+  pause_receivers(service, operation, *current);
+}
+
+// --- pause
+// ----------------------------------------------------------------------------------------------------
+
+void Failover::pause_receivers(const std::string& service, Operation& operation,
+                               const PrimaryAssignment& current) {
+  std::vector<Instance> receiving;
+  std::vector<Instance> former_primaries;
+  for (auto& receiver : receivers(service, operation)) {
+    if (receiver.id == current.primary && !operation.primary_follows) continue;
+    receiving.push_back(receiver);
+    auto reply = operation.replies.find(receiver.id);
+    if (reply != operation.replies.end() && reply->second.info.primary) former_primaries.push_back(receiver);
+  }
+  if (receiving.empty()) return retry_later(operation);
+  if (!former_primaries.empty()) {
+    ++operation.round;
+    return query_all(service, operation, former_primaries, "STEPDOWN " + std::to_string(operation.term),
+                     &Failover::retry_operation);
   }
-  job.term = newest;
-  go(job, Step::kPausing);
-  ask_all(service, job, whom, "PAUSE " + std::to_string(newest + 1),
-          [this, service] { paused(now_, service, jobs_[service]); });
+  enter(operation, Step::kPausing);
+  query_all(service, operation, receiving, "PAUSE " + std::to_string(operation.term + 1),
+            &Failover::on_paused);
 }
 
-void Failover::paused(Millis now, const std::string& service, Job& job) {
-  auto l = lead(service);
-  if (!l || !l->suspended) return go(job, Step::kIdle);
-  const bool must_have_all = sync_replicas(service) > 0;
-  std::optional<Position> furthest;
-  bool missing = false;
-  std::string out_of_reach;
-  note_departing(service, job);
-  std::vector<Instance> whom;
-  for (auto& i : receivers(service, job)) {
-    if (i.id == l->primary && !job.follows) continue;
-    auto r = job.replies.find(i.id);
+Failover::PausedReplicas Failover::read_pauses(const std::string& service, Operation& operation,
+                                               const PrimaryAssignment& current) {
+  static const char* const kind_names[] = {"a row", "an error", "a refusal", "silence"};
+  PausedReplicas paused;
+  note_departing(service, operation);
+  for (auto& receiver : receivers(service, operation)) {
+    if (receiver.id == current.primary && !operation.primary_follows) continue;
     // One that has told of its end, and has ended. Where its log was never learnt, the primary may be back
     // before long, and knows what was committed.
-    Departed* d = departed(i.id);
-    if (d && d->gone() && (job.logs.count(i.id) || now > d->since + kDepartedUnqueriedMs)) continue;
-    if (r == job.replies.end() || r->second.kind != DbReply::Kind::kRow) {
-      missing = true;
-      const char* how[] = {"a row", "an error", "a refusal", "silence"};
-      out_of_reach =
-          i.id.value + " answers with " +
-          (r == job.replies.end() ? "nothing" : how[int(r->second.kind)] + (" " + r->second.error));
+    const DepartedDatabase* departed = departed_.find(receiver.id);
+    const bool log_known = operation.received.count(receiver.id) > 0;
+    if (departed && departed->is_gone() && (log_known || now_ > departed->since + kDepartedUnqueriedMs))
+      continue;
+    auto reply = operation.replies.find(receiver.id);
+    if (reply == operation.replies.end() || reply->second.kind != DatabaseReply::Kind::kRow) {
+      paused.any_missing = true;
+      paused.missing = receiver.id.value + " answers with " +
+                       (reply == operation.replies.end()
+                            ? "nothing"
+                            : kind_names[int(reply->second.kind)] + (" " + reply->second.error));
       continue;
     }
-    whom.push_back(i);
-    if (!furthest || r->second.info.received > *furthest) furthest = r->second.info.received;
+    paused.reachable.push_back(receiver);
+    const Position& received = reply->second.info.received;
+    if (!paused.furthest || received > *paused.furthest) paused.furthest = received;
   }
-  auto former = instance(l->primary);  // it may lead, follow or be gone
-  if (missing && l->planned && former && !former->draining && !job.called) return abandon(now, service, job);
-  if (whom.empty() || (missing && must_have_all)) {
+  return paused;
+}
+
+void Failover::on_paused(const std::string& service, Operation& operation) {
+  const auto current = assignment(service);
+  if (!current || !current->suspended) return enter(operation, Step::kIdle);
+  const bool must_have_all = sync_replicas(service) > 0;
+  const PausedReplicas paused = read_pauses(service, operation, *current);
+  const auto former = instance(current->primary);  // it may lead, follow or be gone
+  const bool primary_stays = current->planned && former && !former->draining && !operation.promote_called;
+  if (paused.any_missing && primary_stays) return abandon(service, operation);
+  if (paused.reachable.empty() || (paused.any_missing && must_have_all)) {
     // Which commits the one out of reach holds is not known: nothing is promoted over it.
-    if (now > job.since) out_.note("Failover of " + service + " waits: " + out_of_reach + ".");
-    return again(now, job);
+    if (now_ > operation.since) log(service, "waits: " + paused.missing);
+    return retry_later(operation);
   }
-  // What one that left took along is nowhere but in the log of the primary. Nodes pass no commit on as kept
-  // meanwhile, so to let the others receive lets nothing be acknowledged.
-  for (auto& [id, position] : job.logs) {
-    bool here = std::any_of(whom.begin(), whom.end(), [&, name = id](auto& i) { return i.id == name; });
-    if (here || !must_have_all || !former || position <= *furthest || !job.committed.none()) continue;
-    out_.note("Failover of " + service + " waits: " + id.value + " has ended and had received " +
-              position.text() + ", the others " + furthest->text() + ".");
-    if (!job.alive) return again(now, job);
-    // Where the others don't take it from there, because they know of a promote whose lead has ended since,
-    // the former primary follows as well, and is the furthest.
-    if (++job.unheard > kMaxUnknownPositionAttempts) {
-      ++job.round;
-      return ask_all(service, job, {*former}, "STEPDOWN " + std::to_string(job.term + 1),
-                     [this, service] { again(now_, jobs_[service]); });
-    }
-    return receive_more(service, job, whom);
+  if (must_have_all && waits_for_departed_log(service, operation, paused, former)) return;
+  if (*paused.furthest < operation.committed) {
+    // Something was committed with the help of a database that is not known here: the others receive it
+    // first.
+    log(service,
+        "waits: replicas at " + paused.furthest->text() + ", primary at " + operation.committed.text());
+    return let_receive(service, operation, paused.reachable);
   }
-  if (*furthest < job.committed) {
-    // Something was committed with the help of a database that is not known here: let the others receive it.
-    out_.note("Failover of " + service + " waits: the replicas stand at " + furthest->text() +
-              ", the primary at " + job.committed.text() + ".");
-    return receive_more(service, job, whom);
+  const Instance& successor = choose_successor(paused, operation);
+  const bool another_stays = std::any_of(paused.reachable.begin(), paused.reachable.end(),
+                                         [](auto& replica) { return !replica.draining; });
+  // One that stays will have caught up in a moment: the replicas receive once more.
+  if (successor.draining && current->planned && !operation.promote_called && another_stays)
+    return let_receive(service, operation, paused.reachable);
+  operation.successor = successor.id;
+  promote(service, operation);
+}
+
+// What one that has ended took along is nowhere but in the log of the primary. Nodes pass no commit on as
+// kept meanwhile, so to let the others receive lets nothing be acknowledged. True when the operation waits
+// for that.
+bool Failover::waits_for_departed_log(const std::string& service, Operation& operation,
+                                      const PausedReplicas& paused, const std::optional<Instance>& former) {
+  if (!former || !operation.committed.none()) return false;
+  for (auto& [id, received] : operation.received) {
+    const bool reachable = std::any_of(paused.reachable.begin(), paused.reachable.end(),
+                                       [&, name = id](auto& replica) { return replica.id == name; });
+    if (reachable || received <= *paused.furthest) continue;
+    log(service, "waits: " + id.value + " has ended and had received " + received.text() + ", the others " +
+                     paused.furthest->text());
+    if (!operation.primary_alive) {
+      retry_later(operation);
+    } else if (++operation.lacking > kMaxUnknownPositionAttempts) {
+      // Where the others don't take it from there, because they know of a promote whose primary has ended
+      // since, the former primary follows as well, and is the furthest.
+      ++operation.round;
+      query_all(service, operation, {*former}, "STEPDOWN " + std::to_string(operation.term + 1),
+                &Failover::retry_operation);
+    } else {
+      let_receive(service, operation, paused.reachable);
+    }
+    return true;
   }
+  return false;
+}
+
+// Of those that have received the most, one that stays before one that leaves, then the least behind.
+const Instance& Failover::choose_successor(const PausedReplicas& paused, Operation& operation) const {
   const Instance* best = nullptr;
-  for (auto& i : whom) {
-    if (job.replies[i.id].info.received != *furthest) continue;
-    if (!best || (best->draining && !i.draining) ||
-        (best->draining == i.draining && job.replies[i.id].info.lag_ms < job.replies[best->id].info.lag_ms))
-      best = &i;
+  for (auto& replica : paused.reachable) {
+    const auto& info = operation.replies[replica.id].info;
+    if (info.received != *paused.furthest) continue;
+    const bool better =
+        !best || (best->draining && !replica.draining) ||
+        (best->draining == replica.draining && info.lag_ms < operation.replies[best->id].info.lag_ms);
+    if (better) best = &replica;
   }
-  if (best->draining && l->planned && !job.called) {
-    bool other = std::any_of(whom.begin(), whom.end(), [](auto& i) { return !i.draining; });
-    // One that stays will have caught up in a moment: let the replicas receive once more.
-    if (other) return receive_more(service, job, whom);
-  }
-  job.successor = best->id;
-  promote(now, service, job);
-}
-
-void Failover::receive_more(const std::string& service, Job& job, const std::vector<Instance>& whom) {
-  ++job.round;
-  ask_all(service, job, whom, "CONTINUE", [this, service] { again(now_, jobs_[service]); });
-}
-
-void Failover::promote(Millis now, const std::string& service, Job& job) {
-  if (!out_.holds()) return go(job, Step::kIdle);
-  go(job, Step::kPromoting);
-  job.called = true;
-  std::uint64_t round = job.round;
-  std::string seen;
-  for (auto& [id, r] : job.replies)
-    if (r.kind == DbReply::Kind::kRow)
-      seen += (seen.empty() ? "" : ", ") + id.value + " at " + r.info.received.text();
-  out_.note("Failover of " + service + " promotes " + job.successor.value + " (" + seen + ").");
-  out_.promote(service, job.successor, [this, service, round](int status) {
-    auto& j = jobs_[service];
-    if (j.round != round) return;
-    if (status == 409 || status < 0) return again(now_, j);  // or not sent: the duty was gone
-    if (status == 200 || status == 0) {
-      go(j, Step::kAwaiting);
-      j.told = false;
-      return;
-    }
-    out_.note("The platform answered " + std::to_string(status) + "; the call is made again.");
-    j.retry_at = now_ + kPromoteRetryMs;
-    go(j, Step::kHolding);
+  return *best;
+}
+
+void Failover::let_receive(const std::string& service, Operation& operation,
+                           const std::vector<Instance>& replicas) {
+  ++operation.round;
+  query_all(service, operation, replicas, "CONTINUE", &Failover::retry_operation);
+}
+
+// --- promotion
+// ------------------------------------------------------------------------------------------------
+
+void Failover::promote(const std::string& service, Operation& operation) {
+  if (!callbacks_.is_leader()) return enter(operation, Step::kIdle);
+  enter(operation, Step::kPromoting);
+  operation.promote_called = true;
+  std::string positions;
+  for (auto& [id, reply] : operation.replies)
+    if (reply.kind == DatabaseReply::Kind::kRow)
+      positions += (positions.empty() ? "" : ",") + id.value + "@" + reply.info.received.text();
+  log(service, "promotes: successor=" + operation.successor.value + " positions=" + positions);
+  callbacks_.promote(service, operation.successor, [this, service, round = operation.round](int status) {
+    Operation& current = operations_[service];
+    if (current.round == round) on_promoted(service, current, status);
   });
-  (void)now;
-}
-
-void Failover::confirm_lead(Millis now, const std::string& service, Job& job) {
-  auto i = instance(job.successor);
-  if (Departed* d = departed(job.successor); !i && d) i = d->instance;
-  if (!i) return again(now, job);
-  go(job, Step::kFinishing);
-  std::uint64_t round = job.round;
-  out_.ask(*i, "INFO", [this, service, round](DbReply r) {
-    auto& j = jobs_[service];
-    if (j.round != round) return;
-    if (r.kind == DbReply::Kind::kRow && r.info.primary)
-      return announce(now_, service, j, j.successor, r.info.term);
-    again(now_, j);
+}
+
+void Failover::on_promoted(const std::string& service, Operation& operation, int status) {
+  if (status == 409 || status < 0) return retry_later(operation);  // or not sent: the duty was gone
+  if (status == 200 || status == 0) {
+    enter(operation, Step::kAwaitingPrimary);
+    operation.successor_heard = false;
+    return;
+  }
+  log(service, "promotes again: the platform answered status=" + std::to_string(status));
+  operation.retry_at = now_ + kPromoteRetryMs;
+  enter(operation, Step::kWaitingForNodes);
+}
+
+void Failover::confirm_successor(const std::string& service, Operation& operation) {
+  auto successor = instance(operation.successor);
+  if (const DepartedDatabase* departed = departed_.find(operation.successor); !successor && departed)
+    successor = departed->instance;
+  if (!successor) return retry_later(operation);
+  enter(operation, Step::kAnnouncing);
+  callbacks_.query(*successor, "INFO", [this, service, round = operation.round](const DatabaseReply& reply) {
+    Operation& current = operations_[service];
+    if (current.round != round) return;
+    if (reply.kind == DatabaseReply::Kind::kRow && reply.info.primary)
+      return announce(service, current, current.successor, reply.info.term);
+    retry_later(current);
   });
 }
 
-void Failover::announce(Millis now, const std::string& service, Job& job, const InstanceId& id,
+void Failover::announce(const std::string& service, Operation& operation, const InstanceId& primary,
                         std::uint64_t term) {
   const Row* row = state_.find(primary_key(service));
-  auto l = lead(service);
-  if (!row || !l) return;
-  go(job, Step::kFinishing);
-  std::uint64_t round = job.round;
-  out_.note("Failover of " + service + ": " + id.value + " leads term " + std::to_string(term) + ".");
-  out_.submit(assign_primary(service, row->value, PrimaryAssignment{id, false, false, term, true}),
-              [this, service, round](Status) {
-                auto& j = jobs_[service];
-                if (j.round != round) return;
-                auto current = lead(service);
-                if (!current || current->suspended) return again(now_, j);
-                j = Job{};
-                reports_.clear();
-                release(now_, service);
-              });
-  (void)now;
-}
-
-// After a switch, or one given up: whoever is held receives again, and a former primary learns that it is
-// one. The state says so until all have answered, so that the next holder goes on where this one stops.
-void Failover::release(Millis now, const std::string& service) {
-  auto l = lead(service);
-  if (!l || l->suspended || !l->releasing) {
-    releases_.erase(service);
-    return;
-  }
-  auto& r = releases_[service];
-  if (r.awaited > 0 || now < r.retry_at) return;
-  std::vector<Instance> whom;
-  for (auto& i : members(service))
-    if (i.id != l->primary && !r.done.count(i.id)) whom.push_back(i);
-  if (whom.empty() && !r.twice) {  // a PAUSE that went unanswered may arrive after the first CONTINUE
-    r.twice = true;
-    r.tries = 0;
-    r.done.clear();
-    r.refusals.clear();
-    r.retry_at = now + kLateStatementMs;
-    return;
-  }
-  if (whom.empty()) {
-    const Row* row = state_.find(primary_key(service));
-    PrimaryAssignment next = *l;
-    next.releasing = false;
-    r.retry_at = now + kFailoverRetryMs;
-    return out_.submit(assign_primary(service, row->value, next), [](Status) {});
-  }
-  r.awaited = whom.size();
-  r.retry_at = now + kFailoverRetryMs * Millis(std::min<std::size_t>(++r.tries, 5));
-  std::uint64_t serial = r.serial = ++last_release_;
-  for (auto& i : whom) {
-    auto done = [this, service, serial, id = i.id](DbReply reply) {
-      auto it = releases_.find(service);
-      if (it == releases_.end() || it->second.serial != serial) return;
-      --it->second.awaited;
-      // A process that is gone holds nothing; one that comes back has started anew. A single refusal may be
-      // the reset of a connection.
-      auto& refusals = it->second.refusals[id];
-      refusals = reply.kind == DbReply::Kind::kRefused ? refusals + 1 : 0;
-      if (reply.kind == DbReply::Kind::kRow || refusals >= kRefusalsUntilGone) it->second.done.insert(id);
-    };
-    if (!i.primary) {
-      out_.ask(i, "CONTINUE", done);
-      continue;
-    }
-    // What it last said of itself may be old: it may lead still, or be held by now.
-    out_.ask(i, "STEPDOWN " + std::to_string(l->term), [this, i, service, serial, done](DbReply reply) {
-      auto it = releases_.find(service);
-      if (it == releases_.end() || it->second.serial != serial) return;  // another switch has begun
-      if (reply.kind == DbReply::Kind::kRow)
-        out_.ask(i, "CONTINUE", done);
-      else
-        done(reply);
-    });
-  }
+  if (!row || !assignment(service)) return;
+  enter(operation, Step::kAnnouncing);
+  log(service, "ends: primary=" + primary.value + " term=" + std::to_string(term));
+  callbacks_.submit(assign_primary(service, row->value, PrimaryAssignment{primary, false, false, term, true}),
+                    [this, service, round = operation.round](const Status&) {
+                      Operation& latest = operations_[service];
+                      if (latest.round != round) return;
+                      const auto current = assignment(service);
+                      if (!current || current->suspended) return retry_later(latest);
+                      latest = Operation{};
+                      suspicions_.clear_all();
+                      release(service);
+                    });
 }
 
 // The primary is there after all: the replicas go on receiving and it leads again.
-void Failover::abandon(Millis now, const std::string& service, Job& job) {
+void Failover::abandon(const std::string& service, Operation& operation) {
   const Row* row = state_.find(primary_key(service));
-  auto l = lead(service);
-  if (!row || !l) return;
-  out_.note("Failover of " + service + " is given up: the primary answers.");
-  go(job, Step::kFinishing);
-  std::uint64_t round = job.round;
-  PrimaryAssignment next = *l;
+  const auto current = assignment(service);
+  if (!row || !current) return;
+  log(service, "abandoned: the primary answers, primary=" + current->primary.value);
+  enter(operation, Step::kAnnouncing);
+  PrimaryAssignment next = *current;
   next.suspended = next.planned = false;
   next.releasing = true;
-  out_.submit(assign_primary(service, row->value, next), [this, service, round](Status) {
-    auto& j = jobs_[service];
-    if (j.round != round) return;
-    auto current = lead(service);
-    if (!current || current->suspended) return again(now_, j);
-    j = Job{};
-    j.retry_at = now_ + kFailoverRetryMs;
+  callbacks_.submit(assign_primary(service, row->value, next),
+                    [this, service, round = operation.round](const Status&) {
+                      Operation& latest = operations_[service];
+                      if (latest.round != round) return;
+                      const auto stored = assignment(service);
+                      if (!stored || stored->suspended) return retry_later(latest);
+                      latest = Operation{};
+                      latest.retry_at = now_ + kFailoverRetryMs;
+                    });
+}
+
+// --- release
+// --------------------------------------------------------------------------------------------------
+
+// After a failover, or one abandoned: whoever is paused receives again, and a former primary learns that it
+// is one. The state says so until all have answered, so that the next controller goes on where this one
+// stops.
+void Failover::release(const std::string& service) {
+  const auto current = assignment(service);
+  if (!current || current->suspended || !current->releasing) {
+    releases_.erase(service);
+    return;
+  }
+  Release& release = releases_[service];
+  if (release.awaited > 0 || now_ < release.retry_at) return;
+  auto remaining = databases(service);
+  std::erase_if(remaining, [&](auto& database) {
+    return database.id == current->primary || release.done.count(database.id) > 0;
   });
-  (void)now;
+  if (remaining.empty())
+    return release.second_pass ? finish_release(service, *current, release) : begin_second_pass(release);
+  release.awaited = remaining.size();
+  release.retry_at = now_ + kFailoverRetryMs * Millis(std::min<std::size_t>(++release.attempts, 5));
+  const std::uint64_t serial = release.serial = ++last_release_;
+  for (auto& database : remaining) release_instance(service, database, current->term, serial);
+}
+
+// A PAUSE that went unanswered may arrive after the first CONTINUE.
+void Failover::begin_second_pass(Release& release) {
+  release.second_pass = true;
+  release.attempts = 0;
+  release.done.clear();
+  release.refusals.clear();
+  release.retry_at = now_ + kLateStatementMs;
+}
+
+void Failover::finish_release(const std::string& service, const PrimaryAssignment& current,
+                              Release& release) {
+  const Row* row = state_.find(primary_key(service));
+  PrimaryAssignment next = current;
+  next.releasing = false;
+  release.retry_at = now_ + kFailoverRetryMs;
+  callbacks_.submit(assign_primary(service, row->value, next), [](const Status&) {});
+}
+
+void Failover::release_instance(const std::string& service, const Instance& instance, std::uint64_t term,
+                                std::uint64_t serial) {
+  const auto done = [this, service, serial, id = instance.id](const DatabaseReply& reply) {
+    on_released(service, id, serial, reply);
+  };
+  if (!instance.primary) return callbacks_.query(instance, "CONTINUE", done);
+  // What it last said of itself may be old: it may lead still, or be paused by now.
+  callbacks_.query(instance, "STEPDOWN " + std::to_string(term),
+                   [this, instance, service, serial, done](const DatabaseReply& reply) {
+                     auto it = releases_.find(service);
+                     if (it == releases_.end() || it->second.serial != serial) return;  // another failover
+                     if (reply.kind == DatabaseReply::Kind::kRow)
+                       callbacks_.query(instance, "CONTINUE", done);
+                     else
+                       done(reply);
+                   });
+}
+
+void Failover::on_released(const std::string& service, const InstanceId& id, std::uint64_t serial,
+                           const DatabaseReply& reply) {
+  auto it = releases_.find(service);
+  if (it == releases_.end() || it->second.serial != serial) return;
+  Release& release = it->second;
+  --release.awaited;
+  // A process that is gone holds nothing; one that comes back has started anew.
+  int& refusals = release.refusals[id];
+  refusals = reply.kind == DatabaseReply::Kind::kRefused ? refusals + 1 : 0;
+  if (reply.kind == DatabaseReply::Kind::kRow || refusals >= kRefusalsUntilGone) release.done.insert(id);
 }
 
 }  // namespace pebblespindle::failover
--- /dev/null
+++ b/src/failover/suspicions.cc
@@ -0,0 +1,68 @@
+#include "failover/suspicions.h"
+
+#include <set>
+
+#include "failover/constants.h"
+
+namespace pebblespindle::failover {
+
+void Suspicions::report_missing(Instant now, const InstanceId& id, const std::string& zone,
+                                const std::string& node, bool refused, bool once) {
+  Reports& reports = reports_[id];
+  reports.missing[node] = {zone, now, once};
+  if (refused) reports.refused_at = now;
+}
+
+void Suspicions::report_slow(Instant now, const InstanceId& id, const std::string& zone,
+                             const std::string& node) {
+  reports_[id].slow[node] = {zone, now};
+}
+
+void Suspicions::clear_missing(const InstanceId& id, const std::string& node) {
+  auto reports = reports_.find(id);
+  if (reports != reports_.end()) reports->second.missing.erase(node);
+}
+
+bool Suspicions::should_query(Instant now, const InstanceId& id) {
+  auto it = reports_.find(id);
+  if (it == reports_.end()) return false;
+  const Reports& reports = it->second;
+  const std::size_t zones = zones_missing(now, id);
+  if (zones == 0 || reports.query_under_way || now < reports.quiet_until) return false;
+  const bool refused = reports.refused_at && *reports.refused_at > now - kSuspectWindowMs;
+  return refused || zones >= 2;
+}
+
+void Suspicions::on_query_answered(Instant now, const InstanceId& id) {
+  Reports& reports = reports_[id];
+  reports = {};
+  reports.quiet_until = now + kSuspectQuietMs;
+}
+
+std::size_t Suspicions::zones_missing(Instant now, const InstanceId& id) {
+  Reports& reports = reports_[id];
+  std::erase_if(reports.missing, [&](auto& entry) { return entry.second.at < now - kSuspectWindowMs; });
+  // One missed answer of one node says little; of several nodes, as much as several of one.
+  const bool many = reports.missing.size() >= kMinNodesMissingOnce;
+  std::set<std::string> zones;
+  for (auto& [node, missing] : reports.missing)
+    if (many || !missing.once) zones.insert(missing.zone);
+  return zones.size();
+}
+
+bool Suspicions::nodes_agree_slow(Instant now, const InstanceId& id, std::size_t nodes) {
+  auto it = reports_.find(id);
+  if (it == reports_.end()) return false;
+  Reports& reports = it->second;
+  std::erase_if(reports.slow, [&](auto& entry) { return entry.second.at < now - kSlowReportTtlMs; });
+  std::set<std::string> zones;
+  for (auto& [node, slow] : reports.slow) zones.insert(slow.zone);
+  if (zones.size() < 2 || 2 * reports.slow.size() < nodes) {
+    reports.agreed_slow_since.reset();
+    return false;
+  }
+  if (!reports.agreed_slow_since) reports.agreed_slow_since = now;
+  return now >= *reports.agreed_slow_since + kSlowAgreementMs;  // a stall passes by itself
+}
+
+}  // namespace pebblespindle::failover
--- a/tests/failover/failover_cluster.h
+++ b/tests/failover/failover_cluster.h
@@ -12,7 +12,7 @@
 
 namespace pebblespindle::test {
 
-using failover::DbReply;
+using failover::DatabaseReply;
 using failover::Failover;
 
 struct Sea {
@@ -72,35 +72,36 @@
     // The one after it has seen what this one has: it is made now to save the ticks of a third.
   }
   std::unique_ptr<Failover> holder(int g) {
-    Failover::Out out;
-    out.holds = [this, g] { return g == generation && holds; };
-    out.token = [this, g] { return std::uint64_t(g <= generation ? g : 0); };
-    out.ask = [this, g](const Instance& i, const std::string& s, std::function<void(DbReply)> done) {
+    failover::FailoverCallbacks out;
+    out.is_leader = [this, g] { return g == generation && holds; };
+    out.fencing_token = [this, g] { return std::uint64_t(g <= generation ? g : 0); };
+    out.query = [this, g](const Instance& i, const std::string& s, std::function<void(DatabaseReply)> done) {
       std::string name = i.id.value;
       Db& d = dbs[name];
-      auto answer = [this, g, done](Millis in, DbReply r) {
+      auto answer = [this, g, done](Millis in, DatabaseReply r) {
         later(in, [this, g, done, r] {
           if (g == generation) done(r);
         });
       };
-      if (d.dark) return answer(kInfoTimeoutMs, {DbReply::Kind::kSilent, {}, {}});
-      if (!d.up) return answer(2, {DbReply::Kind::kRefused, {}, {}});
+      if (d.dark) return answer(kInfoTimeoutMs, {DatabaseReply::Kind::kSilent, {}, {}});
+      if (!d.up) return answer(2, {DatabaseReply::Kind::kRefused, {}, {}});
       if (resets > 0 && now > d.reset_at + 1000 && chance(resets))
-        return d.reset_at = now, answer(2, {DbReply::Kind::kRefused, {}, {}});
-      if (d.full) return answer(3, {DbReply::Kind::kError, {}, "CONNLIMIT"});
+        return d.reset_at = now, answer(2, {DatabaseReply::Kind::kRefused, {}, {}});
+      if (d.full) return answer(3, {DatabaseReply::Kind::kError, {}, "CONNLIMIT"});
       if (late > 0 && chance(late)) {  // it gets there after the caller has given up
         later(kInfoTimeoutMs + Millis(rng() % 1500), [this, name, s] { obey(dbs[name], s); });
-        return answer(kInfoTimeoutMs, {DbReply::Kind::kSilent, {}, {}});
+        return answer(kInfoTimeoutMs, {DatabaseReply::Kind::kSilent, {}, {}});
       }
-      if (chance(0.03)) return answer(3, {DbReply::Kind::kError, {}, "THROTTLED"});
+      if (chance(0.03)) return answer(3, {DatabaseReply::Kind::kError, {}, "THROTTLED"});
       if (s.starts_with("PAUSE")) {
-        if (d.primary) return answer(3, {DbReply::Kind::kError, {}, "MALFORMED"});
+        if (d.primary) return answer(3, {DatabaseReply::Kind::kError, {}, "MALFORMED"});
         EXPECT_GT(term_of(s), d.told) << "PAUSE at a term that is not above the newest";
-        if (term_of(s) <= d.term) return answer(3, {DbReply::Kind::kError, {}, "MALFORMED"});
+        if (term_of(s) <= d.term) return answer(3, {DatabaseReply::Kind::kError, {}, "MALFORMED"});
       }
       obey(d, s);
       d.told = d.term;
-      answer(3 + Millis(rng() % 5), {DbReply::Kind::kRow, {d.primary, d.term, d.received, d.held, 0}, {}});
+      answer(3 + Millis(rng() % 5),
+             {DatabaseReply::Kind::kRow, {d.primary, d.term, d.received, d.held, 0}, {}});
     };
     out.promote = [this, g](const std::string&, const InstanceId& id, std::function<void(int)> done) {
       EXPECT_TRUE(holds) << "a call without the duty";
@@ -123,9 +124,9 @@
         if (g == generation) done(std::move(status));
       });
     };
-    out.all_acknowledged = [this](std::uint64_t) { return asked_of_hold = true; };
-    out.members = [] { return std::size_t(4); };
-    out.note = [](const std::string&) {};
+    out.acknowledged_by_all_nodes = [this](std::uint64_t) { return asked_of_hold = true; };
+    out.node_count = [] { return std::size_t(4); };
+    out.log_event = [](const std::string&) {};
     return std::make_unique<Failover>(state, std::move(out));
   }
 
@@ -153,7 +154,8 @@
     d.held = 0;
     d.term = newest + 1;
     d.received = {d.term, d.received.number};
-    later(50, [this, name] { apply(put_instance(instance(name))), failover->told(now, instance(name)); });
+    later(50,
+          [this, name] { apply(put_instance(instance(name))), failover->on_heartbeat(now, instance(name)); });
   }
 
   void write() {  // a client's commit at whoever believes to lead
@@ -197,7 +199,7 @@
           d.received = leader->second.received, d.term = leader->second.term;
         if (d.primary && (!d.up || d.dark) && !quiet)
           for (const char* zone : {"z0", "z1"})
-            failover->suspect(now, {name}, zone, std::string("n") + zone, !d.dark);
+            failover->suspicions().report_missing(now, {name}, zone, std::string("n") + zone, !d.dark);
       }
       failover->tick(now);
       standby->tick(now);
