--- a/src/agent/agent.cc
+++ b/src/agent/agent.cc
@@ -24,7 +24,7 @@
   }
 
   int run() {
-    auto feed = Acceptor::listen(loop_.io(), settings_.feed(),
+    auto feed = Acceptor::listen(loop_.io(), settings_.agent_endpoint(),
                                  [this](asio::ip::tcp::socket s) { accept_proxy(std::move(s)); });
     if (!feed) {
       log_.say(feed.status().message());
@@ -150,7 +150,7 @@
     if (asked_cores_.count(host)) return;
     asked_cores_[host].since = loop_.now();
     LineConnection::connect(
-        loop_.io(), {host, settings_.inner_first}, kControllerConnectMs, kMaxLinkBytes,
+        loop_.io(), {host, settings_.internal_port_first}, kControllerConnectMs, kMaxLinkBytes,
         [this, host](LineConnection::Ptr conn, const asio::error_code&) {
           auto a = asked_cores_.find(host);
           if (!conn || a == asked_cores_.end() || a->second.conn) {
--- a/src/base/json_fields.h
+++ b/src/base/json_fields.h
@@ -5,9 +5,9 @@
 namespace pebblespindle {
 
 template <class T>
-T field(const Json& m, const char* name, T fallback) {
-  auto it = m.find(name);
-  if (it == m.end()) return fallback;
+T field(const Json& fields, const char* name, T fallback) {
+  auto it = fields.find(name);
+  if (it == fields.end()) return fallback;
   if constexpr (std::is_same_v<T, std::string>) {
     if (!it->is_string()) return fallback;
   } else if constexpr (std::is_same_v<T, bool>) {
@@ -18,8 +18,8 @@
   return it->template get<T>();
 }
 
-inline std::uint64_t number(const Json& m, const char* name) {
-  return field<std::uint64_t>(m, name, 0);
+inline std::uint64_t number(const Json& fields, const char* name) {
+  return field<std::uint64_t>(fields, name, 0);
 }
 
 }  // namespace pebblespindle
--- a/src/base/types.cc
+++ b/src/base/types.cc
@@ -8,14 +8,14 @@
   return std::to_string(term) + "." + std::to_string(number);
 }
 
-std::optional<Position> Position::parse(std::string_view s) {
-  Position p;
-  const char* end = s.data() + s.size();
-  auto a = std::from_chars(s.data(), end, p.term);
-  if (a.ec != std::errc() || a.ptr == end || *a.ptr != '.') return std::nullopt;
-  auto b = std::from_chars(a.ptr + 1, end, p.number);
-  if (b.ec != std::errc() || b.ptr != end) return std::nullopt;
-  return p;
+std::optional<Position> Position::parse(std::string_view text) {
+  Position position;
+  const char* end = text.data() + text.size();
+  auto term_end = std::from_chars(text.data(), end, position.term);
+  if (term_end.ec != std::errc() || term_end.ptr == end || *term_end.ptr != '.') return std::nullopt;
+  auto number_end = std::from_chars(term_end.ptr + 1, end, position.number);
+  if (number_end.ec != std::errc() || number_end.ptr != end) return std::nullopt;
+  return position;
 }
 
 }  // namespace pebblespindle
--- a/src/base/types.h
+++ b/src/base/types.h
@@ -23,7 +23,7 @@
   auto operator<=>(const Position&) const = default;
   bool none() const { return term == 0 && number == 0; }
   std::string text() const;
-  static std::optional<Position> parse(std::string_view s);
+  static std::optional<Position> parse(std::string_view text);
 };
 
 struct InstanceId {
@@ -36,7 +36,7 @@
 
 template <>
 struct std::hash<pebblespindle::InstanceId> {
-  std::size_t operator()(const pebblespindle::InstanceId& i) const noexcept {
-    return std::hash<std::string>()(i.value);
+  std::size_t operator()(const pebblespindle::InstanceId& id) const noexcept {
+    return std::hash<std::string>()(id.value);
   }
 };
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -84,7 +84,7 @@
 }
 
 int Controller::run() {
-  auto inner = Acceptor::listen(loop_.io(), settings_.inner(),
+  auto inner = Acceptor::listen(loop_.io(), settings_.control_link_endpoint(),
                                 [this](asio::ip::tcp::socket s) { accept_inner(std::move(s)); });
   if (!inner) {
     log_.say(inner.status().message());
@@ -204,7 +204,7 @@
   p.dialling = true;
   p.dial_at = loop_.now() + kReconnectMs;
   LineConnection::connect(
-      loop_.io(), {host, settings_.inner_first}, kControllerConnectMs, kMaxLinkBytes,
+      loop_.io(), {host, settings_.internal_port_first}, kControllerConnectMs, kMaxLinkBytes,
       [this, host](LineConnection::Ptr conn, const asio::error_code&) {
         auto& peer = peers_[host];
         peer.dialling = false;
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -29,7 +29,8 @@
 
 class HttpServer {
  public:
-  static Result<std::unique_ptr<HttpServer>> listen(asio::io_context& io, const Endpoint& at, HttpHandler h);
+  static Result<std::unique_ptr<HttpServer>> listen(asio::io_context& io, const Endpoint& at,
+                                                    HttpHandler handler);
   void close() { acceptor_->close(); }
 
  private:
--- a/src/net/line_connection.h
+++ b/src/net/line_connection.h
@@ -26,7 +26,7 @@
   static void connect(asio::io_context& io, const Endpoint& to, Millis timeout_ms, std::size_t max_line,
                       std::function<void(Ptr, const asio::error_code&)> done, Kind kind = Kind::kLines);
 
-  void start(Handlers h);
+  void start(Handlers handlers);
   void send(std::string_view bytes);
   void send_frame(std::string_view frame);
   void close();              // at once; no more callbacks
@@ -70,6 +70,6 @@
 };
 
 // Peers that fall silent are noticed by the kernel within this time.
-void set_silence_limit(asio::ip::tcp::socket& socket, Millis ms);
+void set_silence_limit(asio::ip::tcp::socket& socket, Millis duration);
 
 }  // namespace pebblespindle
--- a/src/pooler/pooler.cc
+++ b/src/pooler/pooler.cc
@@ -315,7 +315,7 @@
   const std::string life_ =
       std::to_string(std::uint64_t(std::random_device{}()) << 32 | std::random_device{}());
   AgentLink feed_{loop_,
-                  settings_.feed(),
+                  settings_.agent_endpoint(),
                   {[this](std::string_view line) { on_feed(line); },
                    [this] {
                      news_.linked(loop_.now());
--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -8,7 +8,7 @@
 namespace pebblespindle {
 namespace {
 
-const char* schema_text = R"({
+const char* const kSettingsSchema = R"({
   "type": "object",
   "required": ["NodeName", "IpAddress", "Zone", "Listeners", "InternalPortRange", "SeedNodes"],
   "properties": {
@@ -34,73 +34,77 @@
 
 }  // namespace
 
-std::optional<Endpoint> Endpoint::parse(std::string_view s) {
-  auto colon = s.rfind(':');
+std::optional<Endpoint> Endpoint::parse(std::string_view text) {
+  const auto colon = text.rfind(':');
   if (colon == std::string_view::npos || colon == 0) return std::nullopt;
-  Endpoint e{std::string(s.substr(0, colon)), 0};
-  auto r = std::from_chars(s.data() + colon + 1, s.data() + s.size(), e.port);
-  if (r.ec != std::errc() || r.ptr != s.data() + s.size() || e.port == 0) return std::nullopt;
-  return e;
+  Endpoint endpoint{std::string(text.substr(0, colon)), 0};
+  const char* const end = text.data() + text.size();
+  const auto read = std::from_chars(text.data() + colon + 1, end, endpoint.port);
+  if (read.ec != std::errc() || read.ptr != end || endpoint.port == 0) return std::nullopt;
+  return endpoint;
 }
 
 Result<Settings> read_settings(std::string_view text) {
   auto parsed = parse_json(text);
   if (!parsed) return parsed.status();
-  const Json& j = *parsed;
-  static const Schema schema(schema_text);
-  if (auto wrong = schema.check(j); !wrong.empty()) return Status::invalid_argument(wrong);
-  Settings s;
-  s.node_name = j["NodeName"];
-  s.ip = j["IpAddress"];
-  s.zone = j["Zone"];
-  for (auto& [name, address] : j["Listeners"].items()) {
-    auto e = Endpoint::parse(address.get<std::string>());
-    if (!e) return Status::invalid_argument("Listeners." + name + ": not an address with a port");
-    s.listeners[name] = *e;
+  const Json& fields = *parsed;
+  static const Schema schema(kSettingsSchema);
+  if (auto wrong = schema.check(fields); !wrong.empty()) return Status::invalid_argument(wrong);
+  Settings settings;
+  settings.node_name = fields["NodeName"];
+  settings.ip = fields["IpAddress"];
+  settings.zone = fields["Zone"];
+  for (auto& [name, address] : fields["Listeners"].items()) {
+    auto endpoint = Endpoint::parse(address.get<std::string>());
+    if (!endpoint) return Status::invalid_argument("Listeners." + name + ": not an address with a port");
+    settings.listeners[name] = *endpoint;
   }
-  s.inner_first = j["InternalPortRange"][0];
-  s.inner_last = j["InternalPortRange"][1];
-  if (s.inner_last < s.inner_first + 1)
+  settings.internal_port_first = fields["InternalPortRange"][0];
+  settings.internal_port_last = fields["InternalPortRange"][1];
+  if (settings.internal_port_last < settings.internal_port_first + 1)
     return Status::invalid_argument("InternalPortRange: wants two ports or more");
-  for (auto& seed : j["SeedNodes"]) {
-    auto e = Endpoint::parse(seed.get<std::string>());
-    if (!e)
+  for (auto& seed : fields["SeedNodes"]) {
+    auto endpoint = Endpoint::parse(seed.get<std::string>());
+    if (!endpoint)
       return Status::invalid_argument("SeedNodes: not an address with a port: " + seed.get<std::string>());
-    s.seeds.push_back(*e);
+    settings.seeds.push_back(*endpoint);
   }
-  s.bootstrap = j.value("Bootstrap", false);
-  if (j.contains("DataDirectory") && j["DataDirectory"].is_string()) s.data_directory = j["DataDirectory"];
-  if (j.contains("HeartbeatMs")) s.heartbeat_ms = Millis(j["HeartbeatMs"].get<double>());
-  const Json bounds = j.value("Bounds", Json::object());
-  auto number = [](const Json& o, const char* name, double fallback) {
-    return o.contains(name) && o[name].is_number() ? o[name].get<double>() : fallback;
+  settings.bootstrap = fields.value("Bootstrap", false);
+  if (fields.contains("DataDirectory") && fields["DataDirectory"].is_string())
+    settings.data_directory = fields["DataDirectory"];
+  if (fields.contains("HeartbeatMs")) settings.heartbeat_ms = Millis(fields["HeartbeatMs"].get<double>());
+  const Json bounds = fields.value("Bounds", Json::object());
+  auto number = [](const Json& object, const char* name, double fallback) {
+    return object.contains(name) && object[name].is_number() ? object[name].get<double>() : fallback;
   };
-  s.drain_ms = Millis(number(bounds, "DrainMs", double(s.drain_ms)));
-  s.grace_ms = Millis(number(bounds, "GracePeriodS", double(s.grace_ms) / 1000.0) * 1000.0);
-  const Json limits = j.value("Limits", Json::object());
-  s.machine_losses = j.value("FaultTolerance", Json::object()).value("MachineLosses", s.machine_losses);
-  s.max_open_files = int(number(limits, "MaxOpenFiles", 1024));
-  if (j.contains("PlatformApi") && j["PlatformApi"].is_object() && j["PlatformApi"].contains("Address") &&
-      j["PlatformApi"]["Address"].is_string()) {
-    s.platform = Endpoint::parse(j["PlatformApi"]["Address"].get<std::string>());
-    if (!s.platform) return Status::invalid_argument("PlatformApi.Address: not an address with a port");
+  settings.drain_ms = Millis(number(bounds, "DrainMs", double(settings.drain_ms)));
+  settings.grace_ms = Millis(number(bounds, "GracePeriodS", double(settings.grace_ms) / 1000.0) * 1000.0);
+  const Json limits = fields.value("Limits", Json::object());
+  settings.machine_losses =
+      fields.value("FaultTolerance", Json::object()).value("MachineLosses", settings.machine_losses);
+  settings.max_open_files = int(number(limits, "MaxOpenFiles", 1024));
+  if (fields.contains("PlatformApi") && fields["PlatformApi"].is_object() &&
+      fields["PlatformApi"].contains("Address") && fields["PlatformApi"]["Address"].is_string()) {
+    settings.platform = Endpoint::parse(fields["PlatformApi"]["Address"].get<std::string>());
+    if (!settings.platform)
+      return Status::invalid_argument("PlatformApi.Address: not an address with a port");
   }
-  s.target_service = j.value("TargetService", "");
-  if (j.contains("AppServerAddr")) {
-    s.app = Endpoint::parse(j["AppServerAddr"].get<std::string>());
-    if (!s.app) return Status::invalid_argument("AppServerAddr: not an address with a port");
+  settings.target_service = fields.value("TargetService", "");
+  if (fields.contains("AppServerAddr")) {
+    settings.app = Endpoint::parse(fields["AppServerAddr"].get<std::string>());
+    if (!settings.app) return Status::invalid_argument("AppServerAddr: not an address with a port");
   }
-  s.retry_ratio = std::max(0.0, number(bounds, "RetryRatio", s.retry_ratio));
-  s.retry_window_ms = Millis(std::max(0.001, number(bounds, "RetryWindowS", 10)) * 1000.0);
-  s.retry_slack = std::max(0.0, number(bounds, "RetrySlack", s.retry_slack));
-  return s;
+  settings.retry_ratio = std::max(0.0, number(bounds, "RetryRatio", settings.retry_ratio));
+  settings.retry_window_ms = Millis(std::max(0.001, number(bounds, "RetryWindowS", 10)) * 1000.0);
+  settings.retry_slack = std::max(0.0, number(bounds, "RetrySlack", settings.retry_slack));
+  return settings;
 }
 
 Result<std::string> read_file(const std::string& path) {
-  std::ifstream in(path, std::ios::binary);
-  if (!in) return Status::invalid_argument("cannot open " + path);
+  std::ifstream file(path, std::ios::binary);
+  if (!file) return Status::invalid_argument("cannot open " + path);
   std::ostringstream all;
-  all << in.rdbuf();
+  all << file.rdbuf();
   return all.str();
 }
 
@@ -111,8 +115,8 @@
 }
 
 std::string settings_path() {
-  const char* p = std::getenv("PEBBLESPINDLE_SETTINGS");
-  return p && *p ? p : "/etc/pebblespindle/local.json";
+  const char* path = std::getenv("PEBBLESPINDLE_SETTINGS");
+  return path && *path ? path : "/etc/pebblespindle/local.json";
 }
 
 }  // namespace pebblespindle
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -13,20 +13,20 @@
   std::uint16_t port = 0;
   auto operator<=>(const Endpoint&) const = default;
   std::string text() const { return host + ":" + std::to_string(port); }
-  static std::optional<Endpoint> parse(std::string_view s);
+  static std::optional<Endpoint> parse(std::string_view text);
 };
 
 struct Settings {
   std::string node_name, zone, ip;
   std::map<std::string, Endpoint> listeners;
-  std::uint16_t inner_first = 0, inner_last = 0;
+  std::uint16_t internal_port_first = 0, internal_port_last = 0;
   std::vector<Endpoint> seeds;
   bool bootstrap = false;
   std::string data_directory;
   Millis heartbeat_ms = 1000;
   Millis drain_ms = 7000, grace_ms = 6000;
   int max_open_files = 0;
-  int machine_losses = 1;  // of cores, at once, while every promise still holds
+  int machine_losses = 1;  // of controllers, at once, while every rule still holds
   std::optional<Endpoint> platform;
   // On the machine of an application database: its service, and where it listens.
   std::string target_service;
@@ -36,11 +36,15 @@
   Millis retry_window_ms = 10000;
   double retry_slack = 0;
 
-  Endpoint inner() const { return {ip, inner_first}; }                       // cores and agents meet here
-  Endpoint sidecar() const { return {ip, std::uint16_t(inner_first + 2)}; }  // sidecars meet here
-  Endpoint feed() const { return {"127.0.0.1", std::uint16_t(inner_first + 1)}; }  // agent feeds its pooler
+  // Where controllers take links of agents and of other controllers.
+  Endpoint control_link_endpoint() const { return {ip, internal_port_first}; }
+  // Where an agent takes the link of the proxy beside it.
+  Endpoint agent_endpoint() const { return {"127.0.0.1", std::uint16_t(internal_port_first + 1)}; }
+  // Where a sidecar takes links of other sidecars.
+  Endpoint sidecar_endpoint() const { return {ip, std::uint16_t(internal_port_first + 2)}; }
 };
 
+// kInvalidArgument says in one line what is wrong.
 Result<Settings> read_settings(std::string_view text);
 Result<Settings> load_settings(const std::string& path);
 std::string settings_path();  // from PEBBLESPINDLE_SETTINGS
--- a/src/sidecar/sidecar.cc
+++ b/src/sidecar/sidecar.cc
@@ -76,7 +76,7 @@
       auto it = settings_.listeners.find(name);
       return it == settings_.listeners.end() ? Endpoint{} : it->second;
     };
-    if (settings_.inner_last < settings_.inner_first + 2)
+    if (settings_.internal_port_last < settings_.internal_port_first + 2)
       return refuse("InternalPortRange: wants three ports.");
     auto ready =
         HttpServer::listen(loop_.io(), listener("Readiness"), [this](const HttpRequest& r, HttpDone done) {
@@ -84,11 +84,11 @@
           done({cluster_.has_configuration() && !leaving_ ? 200 : 503, "", {}});
         });
     if (!ready) return refuse(ready.status().message());
-    auto control = HttpServer::listen(
-        loop_.io(), listener("ControlPlane"),
-        [this](const HttpRequest& r, HttpDone done) { on_beat(std::move(r), std::move(done)); });
+    auto control =
+        HttpServer::listen(loop_.io(), listener("ControlPlane"),
+                           [this](const HttpRequest& r, HttpDone done) { on_beat(r, std::move(done)); });
     if (!control) return refuse(control.status().message());
-    if (auto why = links_.listen(settings_.sidecar()); !why.empty()) return refuse(why);
+    if (auto why = links_.listen(settings_.sidecar_endpoint()); !why.empty()) return refuse(why);
     if (auto why = front_.listen(listener("OutboundAddr")); !why.empty()) return refuse(why);
     loop_.on_signal(SIGTERM, [this] { leave(); });
     loop_.on_signal(SIGHUP, [this] {
@@ -105,14 +105,14 @@
   // OutPort
   void answer(CallId id, Reply r) override { front_.answer(id, std::move(r)); }
   void offer(const Endpoint& at, const Json& frame) override {
-    if (at != settings_.sidecar()) return links_.send(at, frame);
+    if (at != settings_.sidecar_endpoint()) return links_.send(at, frame);
     asio::post(loop_.io(), [this, frame] {
       on_offer(0, frame);
       loop_.rearm();
     });
   }
   bool withdraw(const Endpoint& at, std::uint64_t n) override {
-    if (at != settings_.sidecar()) return links_.withdraw(at, n);
+    if (at != settings_.sidecar_endpoint()) return links_.withdraw(at, n);
     offer(at, {{"t", "x"}, {"n", n}});
     return false;
   }
@@ -121,7 +121,7 @@
     if (link != 0) return links_.reply(link, frame);
     asio::post(loop_.io(), [this, frame] {
       touch();
-      out_.frame(settings_.sidecar(), frame);
+      out_.frame(settings_.sidecar_endpoint(), frame);
       loop_.rearm();
     });
   }
@@ -166,7 +166,7 @@
     if (!beat) return done({400, Json{{"ErrorMessage", beat.status().message()}}.dump(), {}});
     Instance i = *beat;
     // Others reach it through here.
-    i.address = settings_.sidecar();
+    i.address = settings_.sidecar_endpoint();
     if (!(left_ == id)) in_.database(i);
     const Instance* known = cluster_.instance(id);
     if (known && known->same_but_calls(i) && now_leased()) return done({200, "", {}});
@@ -205,7 +205,7 @@
       touch();
       if (!in_.database())  // this process is new, the database is not
         for (auto& [id, i] : cluster_.instances())
-          if (i.address == settings_.sidecar() && !(left_ == id)) in_.database(i);
+          if (i.address == settings_.sidecar_endpoint() && !(left_ == id)) in_.database(i);
       renew();
     } else if (t == "grant") {
       lease_until_ =
@@ -251,8 +251,9 @@
   AppConnections app_;
   Outbound out_;
   Inbound in_;
-  AgentLink feed_{
-      loop_, settings_.feed(), {[this](std::string_view line) { on_feed(line); }, [this] { renew(); }}};
+  AgentLink feed_{loop_,
+                  settings_.agent_endpoint(),
+                  {[this](std::string_view line) { on_feed(line); }, [this] { renew(); }}};
   InstanceId left_;
   InstanceHeartbeats beats_{loop_.timers()};
   Millis lease_until_ = 0;
