--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -3,12 +3,10 @@
 #include <algorithm>
 #include <csignal>
 #include <random>
-#include <thread>
 
 #include "base/clock.h"
 #include "cli/command_registry.h"
 #include "config/command_validation.h"
-#include "config/configuration_reader.h"
 #include "controller/constants.h"
 #include "failover/constants.h"
 #include "membership/constants.h"
@@ -16,572 +14,558 @@
 #include "quota/constants.h"
 #include "replication/codec.h"
 #include "replication/timing.h"
-#include "settings/run_role.h"
 
 namespace pebblespindle {
+namespace {
 
-replication::ValidationResult Controller::validate_command(const StateTable& state, const Json& update) {
-  return pebblespindle::validate_command(state, update);
+std::uint64_t draw_incarnation() {
+  std::random_device random;
+  return std::uint64_t(random()) << 32 | random();
 }
 
-Controller::Controller(Settings settings, std::unique_ptr<SqliteStore> disk)
+}  // namespace
+
+Controller::Controller(Settings settings, std::unique_ptr<SqliteStore> store)
     : settings_(std::move(settings)),
-      disk_(std::move(disk)),
+      store_(std::move(store)),
+      incarnation_(draw_incarnation()),
       node_leases_(loop_.now()),
-      seated_at_(loop_.now()) {
-  replication::ReplicaOptions start;
-  start.host = settings_.ip;
-  for (auto& s : settings_.seeds) start.seeds.push_back(s.host);
-  start.bootstrap = settings_.bootstrap;
-  start.tolerated_losses = std::size_t(settings_.machine_losses);
-  std::random_device random;
-  start.incarnation = life_ = std::uint64_t(random()) << 32 | random();
-  quota_allocator_ = std::make_unique<quota::QuotaAllocator>(settings_.ip + "/" + std::to_string(life_));
-  replica_ = std::make_unique<replication::Replica>(std::move(start), *disk_, *this, loop_.now());
-  failover::FailoverCallbacks out;
-  out.is_leader = [this] { return replica_->is_leader(loop_.now()); };
-  out.fencing_token = [this] {
-    auto& v = replica_->view();
-    return v.head() == replica_->self() ? v.term : 0;
+      quota_allocator_(settings_.ip + "/" + std::to_string(incarnation_)),
+      peers_(
+          loop_, settings_.internal_port_first,
+          [this] {
+            return Json{{"t", "core"}, {"name", replica_->self()}, {"zone", settings_.zone}};
+          },
+          [this] {
+            reported_at_ = 0;
+            replica_->on_link_established();
+          }),
+      outlier_detector_(
+          [this](const std::string& event) { log_event(event); },
+          [this](const std::string& id, const std::string& zone) { send_to_agents("avoid", id, zone); }),
+      lease_held_at_(loop_.now()) {
+  replica_ = std::make_unique<replication::Replica>(replica_options(), *store_, *this, loop_.now());
+  failover_ = std::make_unique<failover::Failover>(replica_->state(), failover_callbacks());
+  database_client_.may_act = [this] { return replica_->is_leader(loop_.now()); };
+}
+
+// --- the process
+// ----------------------------------------------------------------------------------------------
+
+replication::ReplicaOptions Controller::replica_options() const {
+  replication::ReplicaOptions options;
+  options.host = settings_.ip;
+  for (auto& seed : settings_.seeds) options.seeds.push_back(seed.host);
+  options.bootstrap = settings_.bootstrap;
+  options.tolerated_losses = std::size_t(settings_.machine_losses);
+  options.incarnation = incarnation_;
+  return options;
+}
+
+failover::FailoverCallbacks Controller::failover_callbacks() {
+  failover::FailoverCallbacks callbacks;
+  callbacks.is_leader = [this] { return replica_->is_leader(loop_.now()); };
+  callbacks.fencing_token = [this] {
+    const auto& view = replica_->view();
+    return view.head() == replica_->self() ? view.term : 0;
   };
-  out.query = [this](const Instance& i, const std::string& s,
-                     std::function<void(failover::DatabaseReply)> done) {
-    db_.ask(i, s, [this, id = i.id, done = std::move(done)](failover::DatabaseReply r) {
-      if (r.error.starts_with("CONNLIMIT")) tighten(id, nullptr);
-      done(std::move(r));
-    });
+  callbacks.query = [this](const Instance& instance, const std::string& statement,
+                           std::function<void(failover::DatabaseReply)> done) {
+    query_database(instance, statement, std::move(done));
   };
-  out.promote = [this](const std::string& service, const InstanceId& id, std::function<void(int)> done) {
-    if (!settings_.platform) return done(503);
-    HttpRequest r{"POST",
-                  "/failovers",
-                  Json{{"TargetService", service}, {"InstanceId", id.value}}.dump(),
-                  {{"Content-Type", "application/json"},
-                   {"X-Pebblespindle-Duty-Holder", settings_.node_name},
-                   {"X-Pebblespindle-Fence-Token", std::to_string(replica_->view().term)}}};
-    http_call(
-        loop_.io(), *settings_.platform, r, kPlatformTimeoutMs,
-        [this, done](HttpReply reply) {
-          done(reply.status);
-          loop_.rearm();
-        },
-        [this] { return replica_->is_leader(loop_.now()); });
+  callbacks.promote = [this](const std::string& service, const InstanceId& id,
+                             std::function<void(int)> done) { call_platform(service, id, std::move(done)); };
+  callbacks.submit = [this](Json command, replication::SubmitCallback done) {
+    replica_->submit(loop_.now(), std::move(command), std::move(done));
   };
-  out.submit = [this](Json u, std::function<void(Status)> done) {
-    replica_->submit(loop_.now(), std::move(u), std::move(done));
+  callbacks.acknowledged_by_all_nodes = [this](SequenceNumber sequence) {
+    return acknowledged_by_all_nodes(sequence);
   };
-  out.acknowledged_by_all_nodes = [this](std::uint64_t n) { return all_acknowledged(n); };
-  out.node_count = [this] { return members(); };
-  out.log_event = [this](const std::string& s) { note(s); };
-  db_.may_act = [this] { return replica_->is_leader(loop_.now()); };
-  failover_ = std::make_unique<failover::Failover>(replica_->state(), std::move(out));
+  callbacks.node_count = [this] { return node_count(); };
+  callbacks.log_event = [this](const std::string& event) { log_event(event); };
+  return callbacks;
+}
+
+void Controller::query_database(const Instance& instance, const std::string& statement,
+                                std::function<void(failover::DatabaseReply)> done) {
+  database_client_.ask(
+      instance, statement,
+      [this, id = instance.id, done = std::move(done)](const failover::DatabaseReply& reply) {
+        if (reply.error.starts_with("CONNLIMIT")) on_connection_limit(id, nullptr);
+        done(reply);
+      });
+}
+
+void Controller::call_platform(const std::string& service, const InstanceId& id,
+                               std::function<void(int)> done) {
+  if (!settings_.platform) return done(503);
+  HttpRequest request{"POST",
+                      "/failovers",
+                      Json{{"TargetService", service}, {"InstanceId", id.value}}.dump(),
+                      {{"Content-Type", "application/json"},
+                       {"X-Pebblespindle-Duty-Holder", settings_.node_name},
+                       {"X-Pebblespindle-Fence-Token", std::to_string(replica_->view().term)}}};
+  http_call(
+      loop_.io(), *settings_.platform, request, kPlatformTimeoutMs,
+      [this, done](const HttpReply& reply) {
+        done(reply.status);
+        loop_.rearm();
+      },
+      [this] { return replica_->is_leader(loop_.now()); });
 }
 
-void Controller::note(const std::string& sentence) {
-  log_.say(sentence);
-  events_.push_back({loop_.now(), sentence});
-  if (events_.size() > kMaxEvents) events_.pop_front();
+Status Controller::listen() {
+  auto acceptor = Acceptor::listen(loop_.io(), settings_.control_link_endpoint(),
+                                   [this](asio::ip::tcp::socket socket) { accept(std::move(socket)); });
+  if (!acceptor) return acceptor.status();
+  acceptor_ = std::move(*acceptor);
+  auto listener = settings_.listeners.find("ControlPlane");
+  if (listener == settings_.listeners.end())
+    return Status::invalid_argument("the settings name no ControlPlane listener");
+  auto server = HttpServer::listen(
+      loop_.io(), listener->second,
+      [this](const HttpRequest& request, HttpDone done) { on_http(request, std::move(done)); });
+  if (!server) return server.status();
+  control_server_ = std::move(*server);
+  return Status::ok();
 }
 
 int Controller::run() {
-  auto inner = Acceptor::listen(loop_.io(), settings_.control_link_endpoint(),
-                                [this](asio::ip::tcp::socket s) { accept_inner(std::move(s)); });
-  if (!inner) {
-    log_.say(inner.status().message());
-    return 1;
+  if (const Status listening = listen(); !listening.is_ok()) {
+    log_.say("cannot listen: " + listening.message());
+    return kExitFailure;
   }
-  inner_ = std::move(*inner);
-  auto at = settings_.listeners.find("ControlPlane");
-  if (at == settings_.listeners.end()) {
-    log_.say("The settings name no ControlPlane listener.");
-    return 1;
-  }
-  auto http = HttpServer::listen(loop_.io(), at->second, [this](HttpRequest r, HttpDone done) {
-    on_http(std::move(r), std::move(done));
-  });
-  if (!http) {
-    log_.say(http.status().message());
-    return 1;
-  }
-  control_ = std::move(*http);
   loop_.on_signal(SIGTERM, [this] {
-    log_.say("Asked to end.");
-    part();
-  });
-  loop_.on_signal(SIGHUP, [this] {
-    auto s = load_settings(settings_path());
-    log_.say(s ? "Settings read again." : "Settings not taken: " + s.status().message());
-    if (!s) return;
-    settings_.platform = s->platform;
-    for (auto& seed : s->seeds) replica_->add_host(seed.host);
+    log_.say("asked to end: signal=SIGTERM");
+    begin_leaving();
   });
-  log_.say("Core " + settings_.node_name + " serves at " + at->second.text() + ".");
+  loop_.on_signal(SIGHUP, [this] { reload_settings(); });
+  log_.say("serves: name=" + settings_.node_name +
+           " address=" + settings_.listeners.at("ControlPlane").text());
   loop_.every(replication::kHeartbeatMs / 5, [this] { tick(); });
   loop_.run();
-  return 0;
+  return kExitOk;
 }
 
-// Hands over before it ends: its nodes turn to other cores while their leases run, and its vote goes to a
-// core that stands by, if there is one.
-void Controller::part() {
+void Controller::reload_settings() {
+  auto settings = load_settings(settings_path());
+  log_.say(settings ? "settings reloaded" : "settings rejected: " + settings.status().message());
+  if (!settings) return;
+  settings_.platform = settings->platform;
+  for (auto& seed : settings->seeds) replica_->add_host(seed.host);
+}
+
+// Hands over before it ends: its nodes turn to other controllers while their leases run, and its vote goes to
+// a standby, if there is one.
+void Controller::begin_leaving() {
   if (replica_->is_leaving()) return;
-  Millis now = loop_.now();
+  const Instant now = loop_.now();
   replica_->begin_leaving(now);
-  part_by_ = now + std::min(kHandOverTimeoutMs, settings_.grace_ms / 2);
-  const std::string away = Json{{"t", "away"}, {"l", core_list()}}.dump() + "\n";
-  for (auto& [t, core] : agents_)
-    if (!core && t->delivery.started()) t->conn->send(away);
+  leave_by_ = now + std::min(kHandOverTimeoutMs, settings_.grace_ms / 2);
+  const Json away{{"t", "away"}, {"l", controller_list()}};
+  for (auto& link : links_)
+    if (link->is_started_agent()) link->send(away);
   tick();
   loop_.rearm();
 }
 
 void Controller::tick() {
-  Millis now = loop_.now();
-  if (replica_->is_leaving() && !ending_ && (now >= part_by_ || replica_->may_exit(now))) {
-    ending_ = true;
-    log_.say("Steps out.");
-    replica_->stop(now);
-    loop_.timers().at(now + kReconnectMs / 2, [this] { loop_.stop(); });
-  }
-  for (auto& host : replica_->hosts()) {
-    auto& p = peers_[host];
-    if (!p.conn && !p.dialling && now >= p.dial_at) dial(host);
-  }
+  const Instant now = loop_.now();
+  exit_when_handed_over(now);
+  peers_.connect_missing(now, replica_->hosts());
   replica_->tick(now);
-  if (may_grant()) {
-    if (seated_at_ < last_tick_) feed_all();  // the seat is back: what was held back meanwhile
-    seated_at_ = now;
-  }
-  last_tick_ = now;
+  observe_lease(now);
   node_leases_.expire(now);
-  std::erase_if(tight_, [now](auto& t) { return now >= t.second + kConnectionLimitTtlMs; });
+  std::erase_if(connection_limited_at_,
+                [now](auto& entry) { return now >= entry.second + kConnectionLimitTtlMs; });
   outlier_detector_.expire(now);
-  bool holds = replica_->is_leader(now);
-  if (holds != held_duty_) {
-    held_duty_ = holds;
-    log_.say(holds ? "Holds the failover duty with token " + std::to_string(replica_->view().term) + "."
-                   : "No longer holds the failover duty.");
-  }
+  observe_duty(now);
   failover_->tick(now);
-  db_.expire();
-  tell_peers(false);
-  update_quotas();
+  database_client_.expire();
+  report_leases(false);
+  exchange_quotas();
 }
 
-// Allowances grow while this core has its place; the cores tell each other what they hold, and even it out.
-void Controller::update_quotas() {
-  Millis now = loop_.now();
-  cluster_.follow(replica_->state());
-  if (cluster_.configuration().tenants.empty()) return;
-  quota_allocator_->pass(now, cluster_.configuration().tenants,
-                         may_grant() ? replica_->view().members.size() : 0);
-  if (now >= sums_at_ + kQuotaSyncMs) {
-    sums_at_ = now;
-    if (Json sums = quota_allocator_->sums(); !sums.is_null())
-      for (auto& [host, p] : peers_)
-        send(host, {{"t", "sums"}, {"me", quota_allocator_->self()}, {"l", sums}});
-  }
-  for (auto& a : quota_allocator_->shortages(now))
-    if (auto host = quota_holder_hosts_.find(a.peer); host != quota_holder_hosts_.end())
-      send(host->second, {{"t", "pay"},
-                          {"s", a.tenant},
-                          {"me", quota_allocator_->self()},
-                          {"known", a.known},
-                          {"want", a.want}});
-}
-
-void Controller::on_pay(const Json& m, const std::function<void(const Json&)>& answer) {
-  const std::string tenant = m.value("s", "");
-  auto sum = quota_allocator_->ask(tenant, m.value("me", ""), m.value("known", quota::Rights(0)),
-                                   m.value("want", quota::Rights(0)));
-  if (sum) answer({{"t", "paid"}, {"s", tenant}, {"from", quota_allocator_->self()}, {"sum", *sum}});
-}
-
-// --- links to the other cores and to agents ---------------------------------
-
-void Controller::dial(const std::string& host) {
-  auto& p = peers_[host];
-  p.dialling = true;
-  p.dial_at = loop_.now() + kReconnectMs;
-  LineConnection::connect(
-      loop_.io(), {host, settings_.internal_port_first}, kControllerConnectMs, kMaxLinkBytes,
-      [this, host](LineConnection::Ptr conn, const asio::error_code&) {
-        auto& peer = peers_[host];
-        peer.dialling = false;
-        if (!conn) return;
-        if (peer.conn) return conn->close();
-        peer.conn = conn;
-        set_silence_limit(conn->socket(), replication::kPeerTimeoutMs * 3);
-        conn->start({[](std::string_view) {},
-                     [this, host, conn](LineConnection::End) {
-                       if (peers_[host].conn == conn) peers_[host].conn = nullptr;
-                     },
-                     {}});
-        conn->send(Json{{"t", "core"}, {"name", replica_->self()}, {"zone", settings_.zone}}.dump() + "\n");
-        told_at_ = 0;
-        replica_->on_link_established();
-      });
+void Controller::exit_when_handed_over(Instant now) {
+  if (!replica_->is_leaving() || exiting_) return;
+  if (now < leave_by_ && !replica_->may_exit(now)) return;
+  exiting_ = true;
+  log_.say("leaves the view: id=" + replica_->self());
+  replica_->stop(now);
+  loop_.timers().at(now + kReconnectMs / 2, [this] { loop_.stop(); });
 }
 
-void Controller::send(const std::string& to, const Json& message) {
-  auto it = peers_.find(replication::host_of(to));
-  if (it == peers_.end() || !it->second.conn) return;
-  if (it->second.conn->queued() > kMaxPeerQueueBytes) {  // a peer that takes nothing: start anew
-    it->second.conn->close();
-    it->second.conn = nullptr;
-    return;
+void Controller::observe_lease(Instant now) {
+  if (holds_lease()) {
+    if (lease_held_at_ < last_tick_) feed_all();  // what was held back meanwhile
+    lease_held_at_ = now;
   }
-  it->second.conn->send(message.dump() + "\n");
+  last_tick_ = now;
+}
+
+void Controller::observe_duty(Instant now) {
+  const bool holds_duty = replica_->is_leader(now);
+  if (holds_duty == held_duty_) return;
+  held_duty_ = holds_duty;
+  log_.say(holds_duty ? "failover duty taken: token=" + std::to_string(replica_->view().term)
+                      : "failover duty lost");
+}
+
+// --- replication::Environment
+// ---------------------------------------------------------------------------------
+
+void Controller::send(const replication::ReplicaId& to, const replication::Message& message) {
+  peers_.send(to, replication::encode(message));
+}
+
+replication::ValidationResult Controller::validate(const StateTable& state, const Json& command) {
+  return validate_command(state, command);
+}
+
+void Controller::on_committed() {
+  feed_all();
+  loop_.rearm();
 }
 
-void Controller::accept_inner(asio::ip::tcp::socket socket) {
+// --- links of others
+// ------------------------------------------------------------------------------------------
+
+void Controller::accept(asio::ip::tcp::socket socket) {
   set_silence_limit(socket, replication::kPeerTimeoutMs * 3);
-  auto t = std::make_shared<Agent>();
-  t->conn = std::make_shared<LineConnection>(std::move(socket), kMaxLinkBytes);
-  agents_[t] = false;
-  t->conn->start({[this, t](std::string_view line) { on_inner(t, line); },
-                  [this, t](LineConnection::End why) {
-                    if (why == LineConnection::End::kTooLong)
-                      log_.say("A message of " + (t->node.empty() ? "a new link" : t->node) +
-                               " is too large; its link is closed.");
-                    agents_.erase(t);
-                  },
-                  [this] { loop_.rearm(); }});
-}
-
-void Controller::on_inner(const std::shared_ptr<Agent>& link, std::string_view line) {
-  Json m = Json::parse(line, nullptr, false);
-  if (!m.is_object()) return refuse(link);
+  auto link = std::make_shared<InboundLink>();
+  link->connection = std::make_shared<LineConnection>(std::move(socket), kMaxLinkBytes);
+  links_.insert(link);
+  link->connection->start({[this, link](std::string_view line) { on_line(link, line); },
+                           [this, link](LineConnection::End end) {
+                             if (end == LineConnection::End::kTooLong)
+                               log_.say("link closed: message too large, from=" + link->peer_name());
+                             links_.erase(link);
+                           },
+                           [this] { loop_.rearm(); }});
+}
+
+void Controller::on_line(const InboundLink::Ptr& link, std::string_view line) {
+  const Json message = Json::parse(line, nullptr, false);
+  if (!message.is_object()) return close_misunderstood(link);
   try {
-    if (agents_[link]) {
-      if (!on_core(link->node, m)) refuse(link);
-    } else if (m.value("t", "") == "core") {
-      const std::string name = m.value("name", ""), host = replication::host_of(name);
-      if (host.empty()) return refuse(link);
-      link->node = name;
-      replica_->add_host(host);
-      peers_[host].zone = m.value("zone", "");
-      peers_[host].name = link->node;
-      agents_[link] = true;
-      if (!peers_[host].conn) dial(host);  // it is up: no need to wait for an opening packet it never got
+    if (link->is_controller) {
+      if (!on_peer_message(link->name, message)) close_misunderstood(link);
+    } else if (message.value("t", "") == "core") {
+      on_peer_hello(link, message);
     } else {
-      on_agent(link, m);
+      on_agent_message(link, message);
     }
-  } catch (const Json::exception&) {  // a field of the wrong type: the peer is not understood
-    refuse(link);
+  } catch (const Json::exception&) {  // a field of the wrong type
+    close_misunderstood(link);
   }
 }
 
-void Controller::refuse(const std::shared_ptr<Agent>& link) {
-  log_.say("A message of " + (link->node.empty() ? "a new link" : link->node) +
-           " is not understood; its link is closed.");
-  link->conn->close();
-  agents_.erase(link);
+void Controller::close_misunderstood(const InboundLink::Ptr& link) {
+  log_.say("link closed: message not understood, from=" + link->peer_name());
+  link->connection->close();
+  links_.erase(link);
+}
+
+void Controller::on_peer_hello(const InboundLink::Ptr& link, const Json& message) {
+  const std::string id = message.value("name", "");
+  const std::string host = replication::host_of(id);
+  if (host.empty()) return close_misunderstood(link);
+  link->name = id;
+  replica_->add_host(host);
+  PeerLinks::Peer& peer = peers_.at(host);
+  peer.zone = message.value("zone", "");
+  peer.id = id;
+  link->is_controller = true;
+  if (!peer.connection) peers_.connect(host);  // it is up: no need to wait for an opening packet it never got
 }
 
-bool Controller::on_core(const std::string& from, const Json& m) {
-  Millis now = loop_.now();
-  const std::string t = m.value("t", "");
-  if (t == "hm") {
-    auto& p = peers_[replication::host_of(from)];
-    p.acked = m.value("k", std::uint64_t(0));
-    p.view = m.value("v", std::uint64_t(0));
-    p.nodes = m.value("n", std::size_t(0));
-    p.told = now;
+bool Controller::on_peer_message(const std::string& from, const Json& message) {
+  const Instant now = loop_.now();
+  const std::string type = message.value("t", "");
+  if (type == "hm") {
+    PeerLinks::Peer& peer = peers_.at(replication::host_of(from));
+    peer.acknowledged = message.value("k", SequenceNumber(0));
+    peer.acknowledged_in_view = message.value("v", replication::ViewNumber(0));
+    peer.node_count = message.value("n", std::size_t(0));
+    peer.reported_at = now;
     failover_->tick(now);
-  } else if (t == "sus") {
-    on_suspect(m);
-  } else if (t == "sums") {
-    quota_holder_hosts_[m.value("me", "")] = replication::host_of(from);
-    quota_allocator_->heard(m.value("me", ""), now, m.value("l", Json()));
-  } else if (t == "pay") {
-    on_pay(m, [&](const Json& a) { send(replication::host_of(from), a); });
-  } else if (t == "paid") {
-    quota_allocator_->paid(m.value("s", ""), m.value("from", ""), m.value("sum", quota::Rights(0)));
-  } else if (t == "tight") {
-    InstanceId id{m.value("id", "")};
-    tight_[id] = now;
-    tell_nodes("tight", id.value);
-  } else if (t == "told") {
-    if (auto i = decode_instance({m.value("id", "")}, m.value("v", ""))) failover_->on_heartbeat(now, *i);
+  } else if (type == "sus") {
+    on_suspicion(message);
+  } else if (type == "sums") {
+    quota_holder_hosts_[message.value("me", "")] = replication::host_of(from);
+    quota_allocator_.heard(message.value("me", ""), now, message.value("l", Json()));
+  } else if (type == "pay") {
+    on_rights_request(message, [&](const Json& answer) { peers_.send(from, answer); });
+  } else if (type == "paid") {
+    quota_allocator_.paid(message.value("s", ""), message.value("from", ""),
+                          message.value("sum", quota::Rights(0)));
+  } else if (type == "tight") {
+    const InstanceId id{message.value("id", "")};
+    connection_limited_at_[id] = now;
+    send_to_agents("tight", id.value);
+  } else if (type == "told") {
+    if (auto instance = decode_instance({message.value("id", "")}, message.value("v", "")))
+      failover_->on_heartbeat(now, *instance);
   } else {
-    auto message = replication::decode(m);
-    if (!message) return false;
-    replica_->receive(now, from, *message);
+    auto decoded = replication::decode(message);
+    if (!decoded) return false;
+    replica_->receive(now, from, *decoded);
   }
   return true;
 }
 
-bool Controller::may_grant() const {
-  return replica_->holds_lease(loop_.now());
-}
-
-std::size_t Controller::members() const {
-  Millis now = loop_.now();
-  std::size_t n = node_leases_.count(now);
-  for (auto& [name, p] : peers_)
-    if (now - p.told < 3 * replication::kPeerTimeoutMs) n += p.nodes;
-  return n;
-}
-
-bool Controller::in_view(const std::string& host) const {
-  auto p = peers_.find(host);
-  return host == settings_.ip ? replica_->view().has(replica_->self())
-                              : p != peers_.end() && replica_->view().has(p->second.name);
-}
-
-// The cores an agent may turn to; none when this core cannot know which are in the view today.
-Json Controller::core_list() const {
-  Json l = Json::array();
-  if (!may_grant() && !replica_->hears_majority(loop_.now())) return l;
-  if (in_view(settings_.ip) && !replica_->is_leaving())
-    l.push_back(Json::array({settings_.ip, settings_.zone}));
-  for (auto& [host, p] : peers_)
-    if (!p.zone.empty() && p.conn && in_view(host)) l.push_back(Json::array({host, p.zone}));
-  return l;
-}
-
-void Controller::on_agent(const std::shared_ptr<Agent>& t, const Json& m) {
-  Millis now = loop_.now();
-  const std::string kind = m.value("t", "");
-  if (kind == "who") {
-    t->conn->send(
-        Json{{"t", "cores"}, {"l", core_list()}, {"ok", may_grant() && !replica_->is_leaving()}}.dump() +
-        "\n");
-  } else if (kind == "hi") {
-    t->node = m.value("node", "");
-    t->zone = m.value("zone", "");
-    t->delivery.start(m.value("have", std::uint64_t(0)));
-    feed(*t);
-  } else if (kind == "got") {
-    t->delivery.on_chunk_acknowledged();
-    feed(*t);
-  } else if (kind == "sound") {
-    const std::string service = m.value("s", "");
-    Json a{{"t", "depth"}, {"s", service}, {"at", m.value("at", Json())}};
-    if (auto d = met_positions_.find(now, service)) a["p"] = d->position.text(), a["age"] = d->age;
-    t->conn->send(a.dump() + "\n");
-  } else if (kind == "full") {
-    tighten({m.value("id", "")}, t.get());
-  } else if (kind == "renew") {
-    bool grant = may_grant();
-    node_leases_.renew(now, t->node, t->zone, m.value("ack", std::uint64_t(0)), grant);
-    if (m.contains("met")) on_positions(*t, m["met"]);
-    if (grant) {
-      t->conn->send(Json{{"t", "grant"},
-                         {"at", m.value("at", Json())},
-                         {"ms", kNodeLeaseMs},
-                         {"k", replica_->state().last_sequence()},
-                         {"n", members()},
-                         {"life", life_},
-                         {"c", now}}
-                        .dump() +
-                    "\n");
-    }
-    if (!grant && now > seated_at_ + 2 * kNodeRenewalMs) {
-      // Nothing is to be had here for now: the node turns to another core.
-      t->conn->send(Json{{"t", "away"}, {"l", core_list()}}.dump() + "\n");
-      return;
-    }
-    feed(*t);
-    tell_peers(false);
-    if (failover_->is_under_way()) failover_->tick(now);  // it may wait for this acknowledgement
-  } else if (kind == "sus") {
-    Json report = m;
-    report["z"] = t->zone;
-    report["n"] = t->node;
-    on_suspect(report);
-  } else if (kind == "sight") {
-    if (!outlier_detector_.report(now, t->zone, t->node, m))
-      log_.say("A report of " + t->node + " has figures that cannot be; it is dropped.");
-  } else if (kind == "pay") {
-    on_pay(m, [&](const Json& a) { t->conn->send(a.dump() + "\n"); });
-  } else if (kind == "beat" || kind == "leave") {
-    on_relayed_beat(t, m);
-  } else if (kind == "bye") {
-    node_leases_.remove(t->node);
-    tell_peers(false);
-  } else if (kind == "status") {
-    t->conn->send(status(false).dump() + "\n");
+// --- agents
+// ---------------------------------------------------------------------------------------------------
+
+void Controller::on_agent_message(const InboundLink::Ptr& link, const Json& message) {
+  const std::string type = message.value("t", "");
+  if (type == "who") {
+    on_controllers_query(*link);
+  } else if (type == "hi") {
+    on_agent_hello(*link, message);
+  } else if (type == "got") {
+    link->delivery.on_chunk_acknowledged();
+    feed(*link);
+  } else if (type == "sound") {
+    on_position_query(*link, message);
+  } else if (type == "full") {
+    on_connection_limit({message.value("id", "")}, link.get());
+  } else if (type == "renew") {
+    on_lease_renewal(*link, message);
+  } else if (type == "sus") {
+    Json report = message;
+    report["z"] = link->zone;
+    report["n"] = link->name;
+    on_suspicion(report);
+  } else if (type == "sight") {
+    on_health_report(*link, message);
+  } else if (type == "pay") {
+    on_rights_request(message, [&](const Json& answer) { link->send(answer); });
+  } else if (type == "beat" || type == "leave") {
+    on_relayed_heartbeat(link, message);
+  } else if (type == "bye") {
+    node_leases_.remove(link->name);
+    report_leases(false);
+  } else if (type == "status") {
+    link->send(status(false));
+  }
+}
+
+void Controller::on_controllers_query(InboundLink& link) {
+  const bool has_place = holds_lease() && !replica_->is_leaving();
+  link.send({{"t", "cores"}, {"l", controller_list()}, {"ok", has_place}});
+}
+
+void Controller::on_agent_hello(InboundLink& link, const Json& message) {
+  link.name = message.value("node", "");
+  link.zone = message.value("zone", "");
+  link.delivery.start(message.value("have", SequenceNumber(0)));
+  feed(link);
+}
+
+void Controller::on_position_query(InboundLink& link, const Json& message) {
+  const std::string service = message.value("s", "");
+  Json answer{{"t", "depth"}, {"s", service}, {"at", message.value("at", Json())}};
+  if (auto known = positions_.find(loop_.now(), service)) {
+    answer["p"] = known->position.text();
+    answer["age"] = known->age;
   }
+  link.send(answer);
 }
 
-// Positions of primaries that a node met, stamped by this core's clock as the node knows it.
-void Controller::on_positions(const Agent& t, const Json& met) {
-  if (met.value("life", std::uint64_t(0)) != life_) return;  // the clock of another core, or of a former life
-  for (auto& e : met.at("p")) {
-    auto p = Position::parse(e.at(1).get<std::string>());
-    if (!cluster_.primary_of(e.at(0)) ||
-        (p && met_positions_.report(loop_.now(), e.at(0), *p, e.at(2)).is_ok()))
-      continue;
-    return log_.say("A position told by " + t.node + " cannot be; it is dropped.");
+void Controller::on_lease_renewal(InboundLink& link, const Json& message) {
+  const Instant now = loop_.now();
+  const bool granted = holds_lease();
+  node_leases_.renew(now, link.name, link.zone, message.value("ack", SequenceNumber(0)), granted);
+  if (message.contains("met")) on_positions(link, message["met"]);
+  if (granted) {
+    link.send({{"t", "grant"},
+               {"at", message.value("at", Json())},
+               {"ms", kNodeLeaseMs},
+               {"k", replica_->state().last_sequence()},
+               {"n", node_count()},
+               {"life", incarnation_},
+               {"c", now}});
+  } else if (now > lease_held_at_ + 2 * kNodeRenewalMs) {
+    // Nothing is to be had here for now: the node turns to another controller.
+    return link.send({{"t", "away"}, {"l", controller_list()}});
   }
+  feed(link);
+  report_leases(false);
+  if (failover_->is_under_way()) failover_->tick(now);  // it may wait for this acknowledgement
+}
+
+// Positions of primaries that a node met, stamped by this controller's clock as the node knows it.
+void Controller::on_positions(const InboundLink& link, const Json& positions) {
+  // The clock of another controller, or of a former process, says nothing here.
+  if (positions.value("life", std::uint64_t(0)) != incarnation_) return;
+  for (auto& entry : positions.at("p")) {
+    const auto position = Position::parse(entry.at(1).get<std::string>());
+    if (!cluster_.primary_of(entry.at(0))) continue;
+    if (position && positions_.report(loop_.now(), entry.at(0), *position, entry.at(2)).is_ok()) continue;
+    return log_.say("position rejected: impossible, from=" + link.name);
+  }
+}
+
+void Controller::on_health_report(const InboundLink& link, const Json& message) {
+  if (!outlier_detector_.report(loop_.now(), link.zone, link.name, message))
+    log_.say("health report rejected: impossible counts, from=" + link.name);
 }
 
 // What a node met at a database: to whoever holds the duty.
-void Controller::on_suspect(const Json& report) {
-  Millis now = loop_.now();
+void Controller::on_suspicion(const Json& report) {
+  const Instant now = loop_.now();
   if (!replica_->is_leader(now)) {
-    const std::string head = replica_->view().head();
-    if (head != replica_->self()) send(head, report);
+    const replication::ReplicaId head = replica_->view().head();
+    if (head != replica_->self()) peers_.send(head, report);
     return;
   }
-  InstanceId id{report.value("id", "")};
+  const InstanceId id{report.value("id", "")};
   const std::string node = report.value("n", "");
+  const std::string zone = report.value("z", "");
+  failover::Suspicions& suspicions = failover_->suspicions();
   if (report.value("ok", false))
-    failover_->suspicions().clear_missing(id, node);
+    suspicions.clear_missing(id, node);
   else if (report.value("slow", false))
-    failover_->suspicions().report_slow(now, id, report.value("z", ""), node);
+    suspicions.report_slow(now, id, zone, node);
   else
-    failover_->suspicions().report_missing(now, id, report.value("z", ""), node, report.value("r", false),
-                                           report.value("once", false));
+    suspicions.report_missing(now, id, zone, node, report.value("r", false), report.value("once", false));
   failover_->tick(now);
 }
 
-void Controller::feed(Agent& t) {
-  if (!may_grant()) return;  // not even what has been begun: it goes on when the seat is back
-  t.delivery.send_pending(replica_->state(), replica_->committed(), replica_->may_serve(loop_.now()), news_,
-                          [&t](const std::string& line) { t.conn->send(line); });
+void Controller::feed(InboundLink& link) {
+  if (!holds_lease()) return;  // not even what has been begun: it goes on when the lease is back
+  link.delivery.send_pending(replica_->state(), replica_->committed(), replica_->may_serve(loop_.now()),
+                             shared_feed_, [&link](const std::string& line) { link.connection->send(line); });
+}
+
+void Controller::feed_all() {
+  for (auto& link : links_)
+    if (!link->is_controller) feed(*link);
+}
+
+// Something passing about a database, to the nodes linked here, or to those of one zone.
+void Controller::send_to_agents(const char* type, const std::string& id, const std::string& zone) {
+  const Json message{{"t", type}, {"id", id}};
+  for (auto& link : links_)
+    if (link->is_started_agent() && (zone.empty() || link->zone == zone)) link->send(message);
+}
+
+bool Controller::is_in_view(const std::string& host) const {
+  const auto& view = replica_->view();
+  if (host == settings_.ip) return view.has(replica_->self());
+  const PeerLinks::Peer* peer = peers_.find(host);
+  return peer && view.has(peer->id);
+}
+
+// The controllers that an agent may turn to; none when this one cannot know which are in the view today.
+Json Controller::controller_list() const {
+  Json list = Json::array();
+  if (!holds_lease() && !replica_->hears_majority(loop_.now())) return list;
+  if (is_in_view(settings_.ip) && !replica_->is_leaving())
+    list.push_back(Json::array({settings_.ip, settings_.zone}));
+  for (auto& [host, peer] : peers_.all())
+    if (!peer.zone.empty() && peer.connection && is_in_view(host))
+      list.push_back(Json::array({host, peer.zone}));
+  return list;
 }
 
 // A database has no more connections to give: nodes everywhere keep fewer to it for a while. Told once in
 // half of that while, whoever says so how often; one that has not heard is told alone.
-void Controller::tighten(const InstanceId& id, Agent* teller) {
-  Millis now = loop_.now();
+void Controller::on_connection_limit(const InstanceId& id, InboundLink* reporter) {
+  const Instant now = loop_.now();
   if (!cluster_.instance(id)) return;
-  auto [it, fresh] = tight_.emplace(id, now);
-  if (!fresh && now < it->second + kConnectionLimitTtlMs / 2) {
-    if (teller) teller->conn->send(Json{{"t", "tight"}, {"id", id.value}}.dump() + "\n");
+  const Json message{{"t", "tight"}, {"id", id.value}};
+  auto [it, inserted] = connection_limited_at_.emplace(id, now);
+  if (!inserted && now < it->second + kConnectionLimitTtlMs / 2) {
+    if (reporter) reporter->send(message);
     return;
   }
   it->second = now;
-  tell_nodes("tight", id.value);
-  for (auto& [host, p] : peers_) send(host, {{"t", "tight"}, {"id", id.value}});
+  send_to_agents("tight", id.value);
+  peers_.send_to_all(message);
 }
 
-// Something passing about a database, to the nodes linked here, or to those of one zone.
-void Controller::tell_nodes(const char* what, const std::string& id, const std::string& zone) {
-  const std::string line = Json{{"t", what}, {"id", id}}.dump() + "\n";
-  for (auto& [t, core] : agents_)
-    if (!core && t->delivery.started() && (zone.empty() || t->zone == zone)) t->conn->send(line);
-}
+// --- quotas
+// ---------------------------------------------------------------------------------------------------
 
-void Controller::feed_all() {
-  for (auto& [t, core] : agents_)
-    if (!core) feed(*t);
+// Allowances grow while this controller has its place; the controllers tell each other what they hold, and
+// even it out.
+void Controller::exchange_quotas() {
+  const Instant now = loop_.now();
+  cluster_.follow(replica_->state());
+  const auto& tenants = cluster_.configuration().tenants;
+  if (tenants.empty()) return;
+  quota_allocator_.pass(now, tenants, holds_lease() ? replica_->view().members.size() : 0);
+  if (now >= quota_sums_sent_at_ + kQuotaSyncMs) {
+    quota_sums_sent_at_ = now;
+    if (Json sums = quota_allocator_.sums(); !sums.is_null())
+      peers_.send_to_all({{"t", "sums"}, {"me", quota_allocator_.self()}, {"l", sums}});
+  }
+  for (auto& shortage : quota_allocator_.shortages(now)) {
+    auto host = quota_holder_hosts_.find(shortage.peer);
+    if (host == quota_holder_hosts_.end()) continue;
+    peers_.send(host->second, {{"t", "pay"},
+                               {"s", shortage.tenant},
+                               {"me", quota_allocator_.self()},
+                               {"known", shortage.known},
+                               {"want", shortage.want}});
+  }
 }
 
-void Controller::on_committed() {
-  feed_all();
-  loop_.rearm();
+void Controller::on_rights_request(const Json& message, const Answer& answer) {
+  const std::string tenant = message.value("s", "");
+  auto sum = quota_allocator_.ask(tenant, message.value("me", ""), message.value("known", quota::Rights(0)),
+                                  message.value("want", quota::Rights(0)));
+  if (sum) answer({{"t", "paid"}, {"s", tenant}, {"from", quota_allocator_.self()}, {"sum", *sum}});
 }
 
-// The other cores hear how many nodes hang here and what they all have acknowledged.
-void Controller::tell_peers(bool always) {
-  Millis now = loop_.now();
-  std::uint64_t acked = node_leases_.acknowledged_by_all(now, replica_->state().last_sequence());
-  std::size_t nodes = node_leases_.count(now);
+// --- leases of nodes, over all controllers
+// --------------------------------------------------------------------
+
+// The other controllers hear how many nodes have a lease here and what they all have acknowledged.
+void Controller::report_leases(bool always) {
+  const Instant now = loop_.now();
+  const SequenceNumber acknowledged =
+      node_leases_.acknowledged_by_all(now, replica_->state().last_sequence());
+  const std::size_t nodes = node_leases_.count(now);
+  const replication::ViewNumber view = replica_->view().number;
   cluster_.follow(replica_->state());
-  bool holding = std::any_of(cluster_.primaries().begin(), cluster_.primaries().end(),
-                             [](auto& l) { return l.second.suspended; });
-  bool due = always || now >= told_at_ + replication::kPeerTimeoutMs || nodes != told_nodes_ ||
-             told_view_ != replica_->view().number || (holding && acked != told_acked_);
+  const auto& primaries = cluster_.primaries();
+  const bool any_suspended =
+      std::any_of(primaries.begin(), primaries.end(), [](auto& entry) { return entry.second.suspended; });
+  const bool due = always || now >= reported_at_ + replication::kPeerTimeoutMs || nodes != reported_nodes_ ||
+                   view != reported_view_ || (any_suspended && acknowledged != reported_acknowledged_);
   if (!due) return;
-  told_at_ = now;
-  told_acked_ = acked;
-  told_nodes_ = nodes;
-  told_view_ = replica_->view().number;
-  for (auto& [name, p] : peers_) send(name, {{"t", "hm"}, {"n", nodes}, {"k", acked}, {"v", told_view_}});
+  reported_at_ = now;
+  reported_acknowledged_ = acknowledged;
+  reported_nodes_ = nodes;
+  reported_view_ = view;
+  peers_.send_to_all({{"t", "hm"}, {"n", nodes}, {"k", acknowledged}, {"v", view}});
+}
+
+std::size_t Controller::node_count() const {
+  const Instant now = loop_.now();
+  std::size_t count = node_leases_.count(now);
+  for (auto& [host, peer] : peers_.all())
+    if (peer.reported_at && now - *peer.reported_at < 3 * replication::kPeerTimeoutMs)
+      count += peer.node_count;
+  return count;
 }
 
-bool Controller::all_acknowledged(std::uint64_t number) const {
-  Millis now = loop_.now();
-  // A core put out lately may have granted leases that still run.
+bool Controller::acknowledged_by_all_nodes(SequenceNumber sequence) const {
+  const Instant now = loop_.now();
+  // A controller that was removed lately may have granted leases that still run.
   if (now < replica_->member_removed_at() + kNodeLeaseMs + kClockDriftMarginMs) return false;
-  if (node_leases_.acknowledged_by_all(now, replica_->state().last_sequence()) < number) return false;
-  for (auto& m : replica_->view().members) {
-    if (m.id == replica_->self()) continue;
-    auto p = peers_.find(replication::host_of(m.id));
-    if (p == peers_.end() || p->second.name != m.id || p->second.acked < number) return false;
+  if (node_leases_.acknowledged_by_all(now, replica_->state().last_sequence()) < sequence) return false;
+  for (auto& member : replica_->view().members) {
+    if (member.id == replica_->self()) continue;
+    const PeerLinks::Peer* peer = peers_.find(replication::host_of(member.id));
+    if (!peer || peer->id != member.id || peer->acknowledged < sequence) return false;
     // A number said in a former view may have stood for a change that was lost with its head.
-    if (p->second.view != replica_->view().number) return false;
+    if (peer->acknowledged_in_view != replica_->view().number) return false;
   }
   return true;
 }
 
-// --- the control plane --------------------------------------------------------
-
-namespace {
-
-HttpReply plain(int status, const std::string& why = {}) {
-  HttpReply r{status, why.empty() ? std::string() : Json{{"ErrorMessage", why}}.dump(), {}};
-  return r;
-}
-
-}  // namespace
-
-void Controller::on_config(const HttpRequest& r, HttpDone done) {
-  auto match = r.headers.find("if-match");
-  std::uint64_t base = 0;
-  if (match != r.headers.end()) {
-    std::string digits = match->second;
-    std::erase(digits, '"');
-    if (digits.empty() || digits.size() > 18 || digits.find_first_not_of("0123456789") != std::string::npos)
-      return done(plain(400, "If-Match is not a number"));
-    base = std::stoull(digits);
-  } else {
-    return done(plain(400, "If-Match is missing"));
-  }
-  // What no state makes sound is refused here. All else is the head's to judge, under its lease.
-  const bool patch = r.method == "PATCH";
-  std::uint64_t revision = 0;
-  std::string wrong;
-  if (patch)
-    wrong = check_patch(r.body).message();
-  else if (auto read = read_configuration(r.body))
-    revision = read->revision;
-  else
-    wrong = read.status().message();
-  if (!wrong.empty()) {
-    note("A configuration was refused: " + wrong + ".");
-    return done(plain(400, wrong));
-  }
-  // What is acknowledged must bear the losses asked for: the first one waits until the voters are complete.
-  if (!replica_->state().find(kConfigurationKey) && !replica_->has_all_voters() &&
-      loop_.now() < born_ + kInitialVotersWaitMs)
-    return done(plain(503, "the core is still growing"));
-  const std::string what =
-      patch ? "A change of " + std::to_string(base) : "Configuration " + std::to_string(revision);
-  replica_->submit(
-      loop_.now(), patch ? patch_configuration(base, r.body) : put_configuration(base, r.body),
-      [this, done, what](Status a) {
-        note(what + (a.is_ok() ? " is acknowledged." : " is not acknowledged: " + a.message() + "."));
-        done(a.is_ok() ? plain(200) : plain(http_status(a), a.message()));
-      });
-}
-
-namespace {
-
-int run_controller() {
-  return run_role("controller", [](Settings settings) {
-    Log log("controller");
-    if (settings.data_directory.empty()) {
-      log.say("The settings name no DataDirectory.");
-      return 1;
-    }
-    auto note = [&log](const std::string& sentence) { log.say(sentence); };
-    auto disk = open_store(settings.data_directory, note);
-    if (!disk) log.say("The disk cannot be used: " + disk.status().message() + ". It is tried again.");
-    while (!disk) {  // full or stalled disks come back; until then there is nothing to serve
-      std::this_thread::sleep_for(std::chrono::milliseconds(replication::kDiskRetryMs));
-      disk = open_store(settings.data_directory, note);
-    }
-    return Controller(std::move(settings), std::move(*disk)).run();
-  });
-}
-
-const RegisterCommand kControllerCommand("controller", "serves the control plane on a core machine",
-                                         run_controller);
-
-}  // namespace
 }  // namespace pebblespindle
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,127 +1,128 @@
-// The core's process: joins chain, registry, replica_leases and duty to sockets and the disk.
+// The controller process: joins the replica of the control state, the leases of nodes, the failover duty,
+// health and quotas to sockets, the clock and the disk. It decides nothing itself; each part does, on one
+// event loop.
+//
+// What is answered or handed out from this controller's own state is so only while it holds its lease in the
+// view: one without a majority says 503, feeds no node and grants nothing (docs/worst-days.md, 1).
 #pragma once
-#include <deque>
 #include <map>
 #include <memory>
+#include <set>
 
-#include "base/log.h"
-#include "config/config_delivery.h"
 #include "controller/database_client.h"
+#include "controller/event_log.h"
+#include "controller/inbound_link.h"
+#include "controller/peer_links.h"
+#include "controller/status_report.h"
 #include "failover/failover.h"
-#include "health/outlier_detector.h"
-#include "membership/node_leases.h"
-#include "membership/position_cache.h"
-#include "net/event_loop.h"
 #include "net/http.h"
-#include "net/line_connection.h"
-#include "quota/quota_allocator.h"
-#include "replication/codec.h"
-#include "replication/replica.h"
 #include "storage/sqlite_store.h"
-#include "storage/store_recovery.h"
 
 namespace pebblespindle {
 
 class Controller : public replication::Environment {
  public:
-  Controller(Settings settings, std::unique_ptr<SqliteStore> disk);
-  int run();
+  Controller(Settings settings, std::unique_ptr<SqliteStore> store);
+  int run();  // until it is asked to end; an exit code
 
   // replication::Environment
-  void send(const std::string& to, const replication::Message& message) override {
-    send(to, replication::encode(message));
-  }
-  replication::ValidationResult validate(const StateTable& state, const Json& update) override {
-    return validate_command(state, update);
-  }
+  void send(const replication::ReplicaId& to, const replication::Message& message) override;
+  replication::ValidationResult validate(const StateTable& state, const Json& command) override;
   void on_committed() override;
-  void log_event(const std::string& event) override { note(event); }
-  void note(const std::string& sentence);  // an event: logged, and shown by status
+  void log_event(const std::string& event) override { events_.add(loop_.now(), event); }
 
  private:
-  struct Peer {  // another core: this side's connection to it
-    LineConnection::Ptr conn;
-    bool dialling = false;
-    Millis dial_at = 0;
-    std::string name, zone;
-    std::uint64_t acked = 0;  // by all nodes it gave leases to
-    std::uint64_t view = 0;   // in which it said so
-    std::size_t nodes = 0;
-    Millis told = -100000;
-  };
-  struct Agent {
-    LineConnection::Ptr conn;
-    std::string node, zone;
-    ConfigDelivery delivery;
-  };
-  static replication::ValidationResult validate_command(const StateTable& state, const Json& update);
+  using Answer = std::function<void(const Json&)>;
 
-  // links
-  void send(const std::string& to, const Json& message);
-  void accept_inner(asio::ip::tcp::socket socket);
-  void on_inner(const std::shared_ptr<Agent>& link, std::string_view line);
-  bool on_core(const std::string& from, const Json& m);  // false: malformed
-  void refuse(const std::shared_ptr<Agent>& link);
-  void on_agent(const std::shared_ptr<Agent>& t, const Json& m);
-  void dial(const std::string& host);
-  void feed(Agent& t);
+  // the process
+  replication::ReplicaOptions replica_options() const;
+  failover::FailoverCallbacks failover_callbacks();
+  void query_database(const Instance& instance, const std::string& statement,
+                      std::function<void(failover::DatabaseReply)> done);
+  void call_platform(const std::string& service, const InstanceId& id, std::function<void(int)> done);
+  Status listen();
+  void reload_settings();
+  void begin_leaving();
+  void tick();
+  void exit_when_handed_over(Instant now);
+  void observe_lease(Instant now);
+  void observe_duty(Instant now);
+
+  // links of others to this one
+  void accept(asio::ip::tcp::socket socket);
+  void on_line(const InboundLink::Ptr& link, std::string_view line);
+  void on_peer_hello(const InboundLink::Ptr& link, const Json& message);
+  bool on_peer_message(const std::string& from, const Json& message);  // false: malformed
+  void close_misunderstood(const InboundLink::Ptr& link);
+
+  // agents
+  void on_agent_message(const InboundLink::Ptr& link, const Json& message);
+  void on_controllers_query(InboundLink& link);
+  void on_agent_hello(InboundLink& link, const Json& message);
+  void on_position_query(InboundLink& link, const Json& message);
+  void on_lease_renewal(InboundLink& link, const Json& message);
+  void on_positions(const InboundLink& link, const Json& positions);
+  void on_health_report(const InboundLink& link, const Json& message);
+  void on_relayed_heartbeat(const InboundLink::Ptr& link, const Json& message);
+  void on_suspicion(const Json& report);
+  void feed(InboundLink& link);
   void feed_all();
-  void tighten(const InstanceId& id, Agent* teller);
-  void tell_nodes(const char* what, const std::string& id, const std::string& zone = {});
-  void tell_peers(bool always);
-  Json core_list() const;
-  bool in_view(const std::string& host) const;
+  void send_to_agents(const char* type, const std::string& id, const std::string& zone = {});
+  Json controller_list() const;
+  bool is_in_view(const std::string& host) const;
 
-  // control plane
-  void on_http(HttpRequest r, HttpDone done);
-  void on_beat(const std::string& id, const HttpRequest& r, HttpDone done);
-  void on_config(const HttpRequest& r, HttpDone done);
-  std::string beat_answer(const Instance& i) const;
-  Json status(bool whole) const;  // whole: every node, database and service by name
+  // connection limits of databases
+  void on_connection_limit(const InstanceId& id, InboundLink* reporter);
 
-  void part();
-  void tick();
-  bool may_grant() const;
-  std::size_t members() const;  // nodes with a live lease, here and at the other cores
-  bool all_acknowledged(std::uint64_t number) const;
-  void on_suspect(const Json& report);
-  void on_relayed_beat(const std::shared_ptr<Agent>& t, const Json& m);
-  void on_pay(const Json& m, const std::function<void(const Json&)>& answer);
-  void update_quotas();
-  void on_positions(const Agent& t, const Json& met);
+  // quotas
+  void exchange_quotas();
+  void on_rights_request(const Json& message, const Answer& answer);
+
+  // leases of nodes, over all controllers
+  void report_leases(bool always);
+  std::size_t node_count() const;
+  bool acknowledged_by_all_nodes(SequenceNumber sequence) const;
+
+  // the control plane (control_api.cc)
+  void on_http(const HttpRequest& request, HttpDone done);
+  void on_get_configuration(HttpDone done);
+  void on_change_configuration(const HttpRequest& request, HttpDone done);
+  void on_put_instance(const std::string& id, const HttpRequest& request, HttpDone done);
+  void on_delete_instance(const std::string& id, HttpDone done);
+  void on_instance_stored(const Instance& instance, const std::string& event);
+  std::string heartbeat_answer(const Instance& instance) const;
+  Json status(bool verbose) const;
+
+  bool holds_lease() const { return replica_->holds_lease(loop_.now()); }
 
   Log log_{"controller"};
   Settings settings_;
   EventLoop loop_;
-  std::unique_ptr<SqliteStore> disk_;
+  EventLog events_{log_};
+  std::unique_ptr<SqliteStore> store_;
+  std::uint64_t incarnation_;  // names this process
   std::unique_ptr<replication::Replica> replica_;
   std::unique_ptr<failover::Failover> failover_;
-  DatabaseClient db_{loop_};
+  DatabaseClient database_client_{loop_};
   NodeLeases node_leases_;
-  PositionCache met_positions_;
-  std::uint64_t life_ = 0;             // names this process
-  std::map<std::string, Peer> peers_;  // by host
-  std::map<std::shared_ptr<Agent>, bool> agents_;
-  std::unique_ptr<Acceptor> inner_;
-  std::unique_ptr<HttpServer> control_;
-  std::unique_ptr<quota::QuotaAllocator> quota_allocator_;
-  std::map<std::string, std::string> quota_holder_hosts_;  // by holder: the core it is at
-  Millis sums_at_ = 0;
-  ConfigDelivery::SharedFeed news_;
-  std::map<InstanceId, Millis> tight_;  // databases that turned connections away, and since when
-  OutlierDetector outlier_detector_{
-      [this](const std::string& s) { note(s); },
-      [this](const std::string& id, const std::string& zone) { tell_nodes("avoid", id, zone); }};
-  struct Event {
-    Millis at = 0;
-    std::string sentence;
-  };
-  std::deque<Event> events_;  // the newest last
-  ClusterState cluster_;      // of what the state holds
-  std::uint64_t told_acked_ = 0, told_view_ = 0;
-  std::size_t told_nodes_ = 0;
-  Millis told_at_ = 0, born_ = loop_.now(), seated_at_, last_tick_ = 0, part_by_ = 0;
-  bool held_duty_ = false, ending_ = false;
+  PositionCache positions_;
+  quota::QuotaAllocator quota_allocator_;
+  std::map<std::string, std::string> quota_holder_hosts_;  // by holder
+  PeerLinks peers_;
+  std::set<InboundLink::Ptr> links_;
+  std::unique_ptr<Acceptor> acceptor_;
+  std::unique_ptr<HttpServer> control_server_;
+  ConfigDelivery::SharedFeed shared_feed_;
+  std::map<InstanceId, Instant> connection_limited_at_;  // databases that turned connections away
+  OutlierDetector outlier_detector_;
+  ClusterState cluster_;
+  SequenceNumber reported_acknowledged_ = 0;
+  replication::ViewNumber reported_view_ = 0;
+  std::size_t reported_nodes_ = 0;
+  Instant reported_at_ = 0, quota_sums_sent_at_ = 0;
+  const Instant started_ = loop_.now();
+  Instant lease_held_at_, last_tick_ = 0, leave_by_ = 0;
+  bool held_duty_ = false, exiting_ = false;
 };
 
 }  // namespace pebblespindle
--- a/src/controller/database_client.cc
+++ b/src/controller/database_client.cc
@@ -8,19 +8,20 @@
 
 void DatabaseClient::ask(const Instance& to, const std::string& statement,
                          std::function<void(DatabaseReply)> done) {
-  auto& line = lines_[to.id];
-  bool fresh = !line;
-  if (fresh) line = std::make_shared<Line>();
-  LinePtr l = line;
-  l->used = loop_.now();
-  l->calls.push_back({statement, std::move(done), 0});
-  l->calls.back().timer = loop_.timers().at(
-      loop_.now() + kInfoTimeoutMs, [this, id = to.id, l] { fail(id, l, DatabaseReply::Kind::kSilent); });
+  LinePtr& stored = lines_[to.id];
+  const bool fresh = !stored;
+  if (fresh) stored = std::make_shared<Line>();
+  const LinePtr line = stored;
+  line->used_at = loop_.now();
+  line->calls.push_back({statement, std::move(done), 0});
+  line->calls.back().timer = loop_.timers().at(loop_.now() + kInfoTimeoutMs, [this, id = to.id, line] {
+    fail(id, line, DatabaseReply::Kind::kSilent);
+  });
   loop_.rearm();
   if (fresh)
-    connect(to, l);
-  else if (l->ready && l->calls.size() == 1)
-    send_first(to.id, l);
+    connect(to, line);
+  else if (line->ready && line->calls.size() == 1)
+    send_first(to.id, line);
 }
 
 void DatabaseClient::connect(const Instance& to, const LinePtr& line) {
@@ -86,17 +87,17 @@
   if (line->conn) line->conn->close();
   auto calls = std::move(line->calls);
   line->calls.clear();
-  for (auto& c : calls) loop_.timers().cancel(c.timer);
-  for (auto& c : calls) c.done({kind, {}, line->reply.error});
+  for (auto& call : calls) loop_.timers().cancel(call.timer);
+  for (auto& call : calls) call.done({kind, {}, line->reply.error});
 }
 
 void DatabaseClient::expire() {
   for (auto it = lines_.begin(); it != lines_.end();) {
-    auto& l = it->second;
-    if (l->calls.empty() && loop_.now() - l->used > kPlatformTimeoutMs * 3) {
-      if (l->conn) {
-        l->conn->send("CLOSE\r\n");
-        l->conn->close_after_flush();
+    const LinePtr& line = it->second;
+    if (line->calls.empty() && loop_.now() - line->used_at > kPlatformTimeoutMs * 3) {
+      if (line->conn) {
+        line->conn->send("CLOSE\r\n");
+        line->conn->close_after_flush();
       }
       it = lines_.erase(it);
     } else {
--- a/src/controller/database_client.h
+++ b/src/controller/database_client.h
@@ -1,4 +1,4 @@
-// The core's own statements to databases: INFO, PAUSE, CONTINUE, STEPDOWN over short-lived connections.
+// The controller's own statements to databases: INFO, PAUSE, CONTINUE, STEPDOWN over short-lived connections.
 #pragma once
 #include <map>
 #include <memory>
@@ -14,7 +14,7 @@
   explicit DatabaseClient(EventLoop& loop) : loop_(loop) {}
   void ask(const Instance& to, const std::string& statement,
            std::function<void(failover::DatabaseReply)> done);
-  // Asked right before anything but a question goes out: a process that was frozen while it connected may
+  // Asked right before anything but INFO goes out: a process that was frozen while it connected may
   // have lost the duty since.
   std::function<bool()> may_act;
   void expire();  // closes connections that have not been used for a while
@@ -30,7 +30,7 @@
     bool ready = false;
     std::vector<Call> calls;  // the first is under way
     failover::DatabaseReply reply;
-    Millis used = 0;
+    Instant used_at = 0;
   };
   using LinePtr = std::shared_ptr<Line>;
   void connect(const Instance& to, const LinePtr& line);
--- a/src/controller/status_report.cc
+++ b/src/controller/status_report.cc
@@ -1,73 +1,101 @@
-// What a core tells of itself and of the fleet: sums first, and by name what is out of the ordinary.
-#include "controller/controller.h"
+#include "controller/status_report.h"
 
 namespace pebblespindle {
 
-Json Controller::status(bool whole) const {
-  Millis now = loop_.now();
-  Json members = Json::array(), catching_up = Json::array();
-  for (auto& m : replica_->view().members) {
-    members.push_back(m.id);
-    if (!(m.id == replica_->self() ? replica_->in_sync() : replica_->is_peer_in_sync(m.id)))
-      catching_up.push_back(m.id);
-  }
-  // Sums first, and what is out of the ordinary by name: with hundreds of nodes the rest tells nothing.
-  Json zones = Json::object(), behind = Json::array(), suspended = Json::array(), leaving = Json::array();
-  for (auto& [name, e] : node_leases_.nodes()) {
-    zones[e.zone] = zones.value(e.zone, 0) + 1;
-    if (e.acknowledged < replica_->committed()) behind.push_back(name);
-  }
-  ClusterState cluster;
-  cluster.follow(replica_->state());
-  for (auto& [id, i] : cluster.instances())
-    if (i.draining) leaving.push_back(id.value);
-  for (auto& [service, l] : cluster.primaries())
-    if (l.suspended) suspended.push_back(service);
-  Json nodes{{"leases", node_leases_.count(now)}, {"by_zone", zones}, {"behind", behind}};
-  Json databases{{"known", cluster.instances().size()}, {"leaving", leaving}};
-  Json services{{"led", cluster.primaries().size()}, {"suspended", suspended}};
-  Json rights = quota_allocator_->sums();  // by tenant, thousandths of an operation, here
-  if (whole) {
-    for (auto& [name, e] : node_leases_.nodes())
-      nodes["all"][name] = {
-          {"zone", e.zone}, {"acknowledged", e.acknowledged}, {"lease_ms", e.expires_at - now}};
-    for (auto& [id, i] : cluster.instances())
-      databases["all"].push_back({{"id", id.value},
-                                  {"service", i.service},
-                                  {"zone", i.zone},
-                                  {"address", i.address.text()},
-                                  {"draining", i.draining},
-                                  {"primary", i.primary}});
-    for (auto& [service, l] : cluster.primaries())
-      services["all"][service] = {{"primary", l.primary.value}, {"suspended", l.suspended}, {"term", l.term}};
-  }
-  Json events = Json::array();
-  for (auto& e : events_) events.push_back({{"ago_ms", now - e.at}, {"what", e.sentence}});
+StatusReport::StatusReport(const Sources& sources, Instant now) : sources_(sources), now_(now) {
+  cluster_.follow(sources.replica.state());
+}
+
+Json StatusReport::document(bool verbose) const {
+  const auto& replica = sources_.replica;
+  const auto& outliers = sources_.outlier_detector;
   Json revision;
-  if (cluster.has_configuration()) revision = cluster.configuration().revision;
-  return {{"core", settings_.node_name},
-          {"zone", settings_.zone},
-          {"name", replica_->self()},
-          {"view",
-           {{"number", replica_->view().number},
-            {"chain", members},
-            {"voters", replica_->view().voters},
-            {"catching_up", catching_up}}},
-          {"seated", replica_->holds_lease(now)},
-          {"disk", replica_->disk_failed() ? "refuses writes" : "well"},
-          {"change", {{"stored", replica_->state().last_sequence()}, {"committed", replica_->committed()}}},
+  if (cluster_.has_configuration()) revision = cluster_.configuration().revision;
+  Json rights = verbose ? sources_.quota_allocator.sums() : Json();  // by tenant, thousandths of an operation
+  return {{"core", sources_.settings.node_name},
+          {"zone", sources_.settings.zone},
+          {"name", replica.self()},
+          {"view", view()},
+          {"seated", replica.holds_lease(now_)},
+          {"disk", replica.disk_failed() ? "refuses writes" : "well"},
+          {"change", {{"stored", replica.state().last_sequence()}, {"committed", replica.committed()}}},
           {"configuration", revision},
           {"duty",
-           {{"holder", replica_->view().head()},
-            {"token", replica_->view().term},
-            {"held_here", replica_->is_leader(now)}}},
-          {"nodes", nodes},
-          {"rights", whole ? rights : Json()},
-          {"services", services},
-          {"trouble",
-           {{"databases", outlier_detector_.databases(now)}, {"routes", outlier_detector_.routes(now)}}},
-          {"events", events},
-          {"databases", databases}};
+           {{"holder", replica.view().head()},
+            {"token", replica.view().term},
+            {"held_here", replica.is_leader(now_)}}},
+          {"nodes", nodes(verbose)},
+          {"rights", rights},
+          {"services", services(verbose)},
+          {"trouble", {{"databases", outliers.databases(now_)}, {"routes", outliers.routes(now_)}}},
+          {"events", events()},
+          {"databases", databases(verbose)}};
+}
+
+Json StatusReport::view() const {
+  const auto& replica = sources_.replica;
+  Json chain = Json::array();
+  Json catching_up = Json::array();
+  for (auto& member : replica.view().members) {
+    chain.push_back(member.id);
+    const bool in_sync = member.id == replica.self() ? replica.in_sync() : replica.is_peer_in_sync(member.id);
+    if (!in_sync) catching_up.push_back(member.id);
+  }
+  return {{"number", replica.view().number},
+          {"chain", chain},
+          {"voters", replica.view().voters},
+          {"catching_up", catching_up}};
+}
+
+Json StatusReport::nodes(bool verbose) const {
+  Json by_zone = Json::object();
+  Json behind = Json::array();
+  for (auto& [name, node] : sources_.node_leases.nodes()) {
+    by_zone[node.zone] = by_zone.value(node.zone, 0) + 1;
+    if (node.acknowledged < sources_.replica.committed()) behind.push_back(name);
+  }
+  Json nodes{{"leases", sources_.node_leases.count(now_)}, {"by_zone", by_zone}, {"behind", behind}};
+  if (!verbose) return nodes;
+  for (auto& [name, node] : sources_.node_leases.nodes())
+    nodes["all"][name] = {
+        {"zone", node.zone}, {"acknowledged", node.acknowledged}, {"lease_ms", node.expires_at - now_}};
+  return nodes;
+}
+
+Json StatusReport::databases(bool verbose) const {
+  Json leaving = Json::array();
+  for (auto& [id, instance] : cluster_.instances())
+    if (instance.draining) leaving.push_back(id.value);
+  Json databases{{"known", cluster_.instances().size()}, {"leaving", leaving}};
+  if (!verbose) return databases;
+  for (auto& [id, instance] : cluster_.instances())
+    databases["all"].push_back({{"id", id.value},
+                                {"service", instance.service},
+                                {"zone", instance.zone},
+                                {"address", instance.address.text()},
+                                {"draining", instance.draining},
+                                {"primary", instance.primary}});
+  return databases;
+}
+
+Json StatusReport::services(bool verbose) const {
+  Json suspended = Json::array();
+  for (auto& [service, assignment] : cluster_.primaries())
+    if (assignment.suspended) suspended.push_back(service);
+  Json services{{"led", cluster_.primaries().size()}, {"suspended", suspended}};
+  if (!verbose) return services;
+  for (auto& [service, assignment] : cluster_.primaries())
+    services["all"][service] = {{"primary", assignment.primary.value},
+                                {"suspended", assignment.suspended},
+                                {"term", assignment.term}};
+  return services;
+}
+
+Json StatusReport::events() const {
+  Json events = Json::array();
+  for (auto& event : sources_.events.newest())
+    events.push_back({{"ago_ms", now_ - event.at}, {"what", event.text}});
+  return events;
 }
 
 }  // namespace pebblespindle
