--- a/src/controller/constants.h
+++ b/src/controller/constants.h
@@ -10,8 +10,6 @@
 
 // Bytes; two of the longest messages wait for a core that reads nothing; then the link starts anew
 constexpr std::size_t kMaxPeerQueueBytes = 16 << 20;
-// ms; a core that just starts drops the opening packet: dial anew, don't wait for seconds
-constexpr Millis kControllerConnectMs = 250;
 // ms; the first configuration waits this long for all voters: inside the operator's patience
 constexpr Millis kInitialVotersWaitMs = 4000;
 // Sentences a core keeps for status: some minutes of trouble
--- a/src/net/constants.h
+++ b/src/net/constants.h
@@ -26,5 +26,7 @@
 constexpr Millis kReconnectMs = 100;
 // ms; a new connection answers within tens of ms when healthy
 constexpr Millis kServerConnectMs = 1000;
+// ms; a controller that just starts drops the opening packet: connect anew, don't wait for seconds
+constexpr Millis kControllerConnectMs = 250;
 
 }  // namespace pebblespindle
--- a/tests/agent/relay_test.cc
+++ b/tests/agent/relay_test.cc
@@ -11,11 +11,11 @@
 namespace {
 
 struct Machine : Relay::Port {
-  void to_core(const std::string& line) override { core.push_back(line); }
-  void to_proxy(const std::string& line) override { proxy.push_back(line); }
-  void renewing() override {}
-  void cores(const Json&) override {}
-  void leave_core() override { ++left; }
+  void send_to_controller(const std::string& line) override { core.push_back(line); }
+  void send_to_proxy(const std::string& line) override { proxy.push_back(line); }
+  void on_renewal_sent() override {}
+  void on_controller_list(const Json&) override {}
+  void leave_controller() override { ++left; }
   std::vector<std::string> core, proxy;
   int left = 0;
   Relay relay{*this, "n1", "z1"};
@@ -40,52 +40,52 @@
 TEST(Relay, AnswersOfAFormerLifeReachNobody) {
   for (bool noticed : {true, false}) {
     Machine m;
-    m.relay.core_up();
-    m.relay.proxy_up();
-    m.relay.proxy_line(R"({"t":"beat","id":"i-1","calls":4})");
-    m.relay.proxy_line(R"({"t":"renew","at":5,"ack":0})");
-    if (noticed) m.relay.proxy_down();
-    m.relay.proxy_up();
+    m.relay.on_controller_up();
+    m.relay.on_proxy_up();
+    m.relay.on_proxy_line(R"({"t":"beat","id":"i-1","calls":4})");
+    m.relay.on_proxy_line(R"({"t":"renew","at":5,"ack":0})");
+    if (noticed) m.relay.on_proxy_down();
+    m.relay.on_proxy_up();
     EXPECT_EQ(m.left, 1);
     EXPECT_NE(m.core.back().find("bye"), std::string::npos) << "the lease of the former life is given back";
     for (auto* t : {"beaten", "grant", "paid", "depth", "tight", "avoid"})
-      m.relay.core_line(R"({"t":")" + std::string(t) + R"(","id":"i-1","calls":4,"s":200})");
-    m.relay.core_line(piece(3, -1, "a"));
+      m.relay.on_controller_line(R"({"t":")" + std::string(t) + R"(","id":"i-1","calls":4,"s":200})");
+    m.relay.on_controller_line(piece(3, -1, "a"));
     EXPECT_TRUE(m.proxy.empty()) << m.proxy.front();
     m.core.clear();
-    m.relay.core_up();
+    m.relay.on_controller_up();
     EXPECT_EQ(m.core.size(), 1u) << "a renewal of the former life is said again";
-    m.relay.core_line(R"({"t":"beaten","id":"i-1","calls":1,"s":200})");
+    m.relay.on_controller_line(R"({"t":"beaten","id":"i-1","calls":1,"s":200})");
     EXPECT_EQ(m.proxy.size(), 1u);
   }
 }
 
 TEST(Relay, AnswersOfAFormerLinkReachNobody) {
   Machine m;
-  m.relay.proxy_up();
-  m.relay.core_up();
-  m.relay.proxy_line(R"({"t":"renew","at":5,"ack":0})");
-  m.relay.core_down();
-  m.relay.core_line(R"({"t":"beaten","id":"i-1","calls":4,"s":200})");
+  m.relay.on_proxy_up();
+  m.relay.on_controller_up();
+  m.relay.on_proxy_line(R"({"t":"renew","at":5,"ack":0})");
+  m.relay.on_controller_down();
+  m.relay.on_controller_line(R"({"t":"beaten","id":"i-1","calls":4,"s":200})");
   EXPECT_TRUE(m.proxy.empty());
-  m.relay.proxy_line(R"({"t":"pay","s":"a"})");  // nobody is there to be asked
+  m.relay.on_proxy_line(R"({"t":"pay","s":"a"})");  // nobody is there to be asked
   m.core.clear();
-  m.relay.core_up();
+  m.relay.on_controller_up();
   EXPECT_EQ(m.core.size(), 2u) << "the lease is asked for anew, what was asked of the former core is not";
 }
 
 // Pieces count together, and only those of one feed.
 TEST(Relay, PiecesOfTwoFeedsAreNeverMixed) {
   Machine m;
-  m.relay.proxy_up();
-  m.relay.core_up();
-  m.relay.core_line(piece(9, 2, "a"));
-  m.relay.core_line(piece(9, 1, "b"));
-  m.relay.core_down();  // between two pieces; the next core stands at the same number
-  m.relay.core_up();
-  m.relay.core_line(piece(9, 1, "c", true));
+  m.relay.on_proxy_up();
+  m.relay.on_controller_up();
+  m.relay.on_controller_line(piece(9, 2, "a"));
+  m.relay.on_controller_line(piece(9, 1, "b"));
+  m.relay.on_controller_down();  // between two pieces; the next core stands at the same number
+  m.relay.on_controller_up();
+  m.relay.on_controller_line(piece(9, 1, "c", true));
   EXPECT_TRUE(m.proxy.empty());
-  m.relay.core_line(piece(9, 0, "d", true));
+  m.relay.on_controller_line(piece(9, 0, "d", true));
   ASSERT_EQ(m.proxy.size(), 1u);
   EXPECT_EQ(keys(m.proxy[0]), (std::set<std::string>{"c", "d"}));
   const std::vector<std::vector<std::string>> torn = {
@@ -100,14 +100,14 @@
   for (auto& lines : torn) {
     int before = m.left;
     m.proxy.clear();
-    for (auto& l : lines) m.relay.core_line(l);
+    for (auto& l : lines) m.relay.on_controller_line(l);
     EXPECT_EQ(m.left, before + 1) << lines.back();
     EXPECT_TRUE(m.proxy.empty()) << lines.back();
-    EXPECT_EQ(m.relay.number(), 9u);
-    m.relay.core_up();
+    EXPECT_EQ(m.relay.sequence(), 9u);
+    m.relay.on_controller_up();
   }
-  m.relay.core_line(piece(12, 1, "g"));
-  m.relay.core_line(piece(12, 0, "h"));
+  m.relay.on_controller_line(piece(12, 1, "g"));
+  m.relay.on_controller_line(piece(12, 0, "h"));
   ASSERT_EQ(m.proxy.size(), 1u);
   EXPECT_EQ(keys(m.proxy[0]), (std::set<std::string>{"g", "h"})) << "what was torn has left something behind";
 }
@@ -138,8 +138,8 @@
   std::size_t seen = 0;
   auto feed = [&](const StateTable& core) {
     for (auto& line :
-         encode_feed(m->relay.number(), core.last_sequence(), core.rows_after(m->relay.number()))) {
-      m->relay.core_line(std::string_view(line).substr(0, line.size() - 1));
+         encode_feed(m->relay.sequence(), core.last_sequence(), core.rows_after(m->relay.sequence()))) {
+      m->relay.on_controller_line(std::string_view(line).substr(0, line.size() - 1));
       for (; seen < m->proxy.size(); ++seen) {
         Json u = Json::parse(m->proxy[seen]);
         auto rows = *decode_rows(u["r"]);
@@ -153,8 +153,8 @@
   auto start = [&] {
     m = std::make_unique<Machine>();
     seen = 0;
-    m->relay.core_up();
-    m->relay.proxy_up();
+    m->relay.on_controller_up();
+    m->relay.on_proxy_up();
   };
   auto same = [&](const StateTable& core) {
     std::set<InstanceId> wanted, held;
@@ -170,7 +170,7 @@
   same(ahead);
   start();
   feed(behind);  // a whole state of 520
-  EXPECT_EQ(m->relay.number(), 520u);
+  EXPECT_EQ(m->relay.sequence(), 520u);
   EXPECT_EQ(cluster.sequence(), 700u);
   same(ahead);
   for (std::uint64_t n = 521; n <= 1100; ++n) {
--- a/tests/config/config_delivery_test.cc
+++ b/tests/config/config_delivery_test.cc
@@ -112,9 +112,9 @@
     for (auto& x : machines) {
       if (x.name != to || m["e"] != x.epoch) continue;
       const std::string line = m["line"];
-      auto taken = x.hold.take(Json::parse(line), std::string_view(line).substr(0, line.size() - 1));
-      if (taken.got) net.send(x.name, x.core, {{"t", "got"}, {"e", x.epoch}});
-      x.hand_on(taken.hand_on);
+      auto taken = x.hold.apply(Json::parse(line), std::string_view(line).substr(0, line.size() - 1));
+      if (taken.acknowledge) net.send(x.name, x.core, {{"t", "got"}, {"e", x.epoch}});
+      x.hand_on(taken.forward);
     }
   }
   // The agent turns to a core that has a place, with a new link.
@@ -124,8 +124,8 @@
     if (!c->node || !c->node->holds_lease(net.now)) return;
     x.core = host;
     ++x.epoch;
-    x.hold.relinked();
-    net.send(x.name, host, {{"t", "hi"}, {"e", x.epoch}, {"have", x.hold.number()}});
+    x.hold.on_new_link();
+    net.send(x.name, host, {{"t", "hi"}, {"e", x.epoch}, {"have", x.hold.sequence()}});
   }
   void check() {
     for (auto& x : machines) {
@@ -238,12 +238,12 @@
         m.hold = StateCache();
         m.core.clear();
         ++m.epoch;
-        if (m.fed && w.net.chance(0.7)) m.hand_on(m.hold.number() ? m.hold.whole() : "");
+        if (m.fed && w.net.chance(0.7)) m.hand_on(m.hold.sequence() ? m.hold.encode_whole_state() : "");
         break;
       case 1:  // the proxy alone
         m.cluster = ClusterState();
         m.revision = m.checked = 0;
-        if (m.hold.number()) m.hand_on(m.hold.whole());
+        if (m.hold.sequence()) m.hand_on(m.hold.encode_whole_state());
         break;
       case 2:  // the link is reset, perhaps between two pieces
         w.link(m);
@@ -295,8 +295,9 @@
   };
   Machine m{"m", "", 0, {}, {}, 0, true, 0};
   auto feed = [&] {
-    for (auto& line : encode_feed(m.hold.number(), core.last_sequence(), core.rows_after(m.hold.number())))
-      m.hand_on(m.hold.take(Json::parse(line), std::string_view(line).substr(0, line.size() - 1)).hand_on);
+    for (auto& line :
+         encode_feed(m.hold.sequence(), core.last_sequence(), core.rows_after(m.hold.sequence())))
+      m.hand_on(m.hold.apply(Json::parse(line), std::string_view(line).substr(0, line.size() - 1)).forward);
   };
   offer(put_configuration(0, body_of(1, 0, 5)));
   Instance i{{"i-1"}, "s", "z", {"10.0.0.1", 1}, 4, false, true, 1};
@@ -340,17 +341,17 @@
   auto up = [&](std::uint64_t k, int left, const char* key) {
     Json m{{"t", "up"}, {"k", k}, {"r", {{key, k, "v"}}}};
     if (left >= 0) m["left"] = left;
-    return h.take(m, m.dump());
+    return h.apply(m, m.dump());
   };
-  EXPECT_FALSE(up(7, -1, "a").hand_on.empty());
-  EXPECT_TRUE(up(5, 1, "b").got);
+  EXPECT_FALSE(up(7, -1, "a").forward.empty());
+  EXPECT_TRUE(up(5, 1, "b").acknowledge);
   auto last = up(5, 0, "c");
-  EXPECT_TRUE(last.got);
-  EXPECT_TRUE(last.hand_on.empty()) << "never back";
-  EXPECT_TRUE(up(9, 1, "d").got);
-  h.relinked();
+  EXPECT_TRUE(last.acknowledge);
+  EXPECT_TRUE(last.forward.empty()) << "never back";
+  EXPECT_TRUE(up(9, 1, "d").acknowledge);
+  h.on_new_link();
   auto alone = up(9, 0, "e");
-  EXPECT_EQ(alone.hand_on.find("\"d\""), std::string::npos) << "a piece of a link that ended";
+  EXPECT_EQ(alone.forward.find("\"d\""), std::string::npos) << "a piece of a link that ended";
 }
 
 }  // namespace
--- a/tests/pooler/engine_fuzz_test.cc
+++ b/tests/pooler/engine_fuzz_test.cc
@@ -331,11 +331,11 @@
 // The lines between core, agent and proxy, with any field missing, of another type, or out of all bounds.
 TEST(Fuzz, InnerMessagesOfAnyShapeDoNoHarm) {
   struct Ends : Relay::Port {
-    void to_core(const std::string& line) override { core += line.size(); }
-    void to_proxy(const std::string& line) override { proxy.push_back(line); }
-    void renewing() override {}
-    void cores(const Json&) override {}
-    void leave_core() override { left = true; }
+    void send_to_controller(const std::string& line) override { core += line.size(); }
+    void send_to_proxy(const std::string& line) override { proxy.push_back(line); }
+    void on_renewal_sent() override {}
+    void on_controller_list(const Json&) override {}
+    void leave_controller() override { left = true; }
     std::size_t core = 0;
     std::vector<std::string> proxy;
     bool left = false;
@@ -397,18 +397,18 @@
       news.hear(q.now, line);
       switch (b.pick(8)) {
         case 0:
-          relay.proxy_line(line);
+          relay.on_proxy_line(line);
           break;
         case 1:
-          relay.proxy_up();
+          relay.on_proxy_up();
           break;
         case 2:
-          relay.proxy_down();
+          relay.on_proxy_down();
           break;
         default:
-          relay.core_line(line);
+          relay.on_controller_line(line);
       }
-      if (ends.left || b.pick(10) == 0) relay.core_up(), ends.left = false;
+      if (ends.left || b.pick(10) == 0) relay.on_controller_up(), ends.left = false;
       q.say(1, "QUERY a FETCH k");
       q.pass(1);
       q.serve();
--- a/tests/pooler/session_cluster.cc
+++ b/tests/pooler/session_cluster.cc
@@ -81,11 +81,12 @@
 }
 
 void SessionsWorld::feed_hold() {
-  if (hold_.number() >= core_.last_sequence()) return;
-  for (auto& line : encode_feed(hold_.number(), core_.last_sequence(), core_.rows_after(hold_.number()))) {
-    auto taken = hold_.take(Json::parse(line), std::string_view(line).substr(0, line.size() - 1));
-    if (taken.hand_on.empty()) continue;
-    Json m = Json::parse(taken.hand_on);
+  if (hold_.sequence() >= core_.last_sequence()) return;
+  for (auto& line :
+       encode_feed(hold_.sequence(), core_.last_sequence(), core_.rows_after(hold_.sequence()))) {
+    auto taken = hold_.apply(Json::parse(line), std::string_view(line).substr(0, line.size() - 1));
+    if (taken.forward.empty()) continue;
+    Json m = Json::parse(taken.forward);
     engine_->feed(m["k"], *decode_rows(m["r"]), m.value("whole", false));
   }
 }
--- a/tests/replication/faulty_cluster.h
+++ b/tests/replication/faulty_cluster.h
@@ -110,15 +110,15 @@
     x.heard = now();
     if (m["t"] != "line") return;
     const std::string line = m["l"];
-    if (x.hold.take(Json::parse(line), std::string_view(line).substr(0, line.size() - 1)).got)
+    if (x.hold.apply(Json::parse(line), std::string_view(line).substr(0, line.size() - 1)).acknowledge)
       net.send(x.name, x.core, {{"t", "got"}});
   }
   void tend(Hanger& x) {
     if (x.core.empty() || now() - x.heard > kControllerTimeoutMs) {
       x.core = any();
       x.heard = now();
-      x.hold.relinked();
-      net.send(x.name, x.core, {{"t", "hi"}, {"have", x.hold.number()}});
+      x.hold.on_new_link();
+      net.send(x.name, x.core, {{"t", "hi"}, {"have", x.hold.sequence()}});
     }
     net.send(x.name, x.core, {{"t", "renew"}});
   }
