--- a/src/health/outlier_detector.cc
+++ b/src/health/outlier_detector.cc
@@ -1,133 +1,151 @@
 #include "health/outlier_detector.h"
 
-#include <algorithm>
-
 #include "health/constants.h"
 
 namespace pebblespindle {
-
 namespace {
 
+constexpr std::size_t kReportedCounts = 4;  // in a row of a report, behind the name
+// Percent failing, of many requests or of few, that tell of a database at fault.
+constexpr std::int64_t kFailingPercent = 25;
+constexpr std::int64_t kFailingPercentOfFew = 75;
+
 std::int64_t percent(std::int64_t part, std::int64_t all) {
   return all > 0 ? part * 100 / all : 0;
 }
 
 // A row of a name and counts; none of them negative or beyond what a window can hold.
-bool sound(const Json& row, std::size_t counts) {
-  if (!row.is_array() || row.size() != counts + 1 || !row[0].is_string()) return false;
-  for (std::size_t i = 1; i <= counts; ++i)
-    if (!row[i].is_number_integer() || row[i].get<std::int64_t>() < 0 ||
-        row[i].get<std::int64_t>() > kMaxCountInWindow)
-      return false;
+bool is_sound(const Json& row) {
+  if (!row.is_array() || row.size() != kReportedCounts + 1 || !row[0].is_string()) return false;
+  for (std::size_t i = 1; i <= kReportedCounts; ++i) {
+    if (!row[i].is_number_integer()) return false;
+    const auto count = row[i].get<std::int64_t>();
+    if (count < 0 || count > kMaxCountInWindow) return false;
+  }
+  return true;
+}
+
+bool all_sound(const Json& rows) {
+  for (auto& row : rows)
+    if (!is_sound(row)) return false;
   return true;
 }
 
 }  // namespace
 
-bool OutlierDetector::report(Millis now, const std::string& zone, const std::string& node, const Json& m) {
+OutlierDetector::Reports& OutlierDetector::enter(Table& table, const Key& key, const std::string& node,
+                                                 const Counts& counts) {
+  Reports& reports = table[key];
+  if (reports.by_node.empty()) reports.since = counts.at;
+  reports.by_node[node] = counts;
+  return reports;
+}
+
+bool OutlierDetector::report(Instant now, const std::string& zone, const std::string& node,
+                             const Json& message) {
   const Json none = Json::array();
-  const Json &d = m.contains("d") ? m.at("d") : none, &r = m.contains("r") ? m.at("r") : none;
-  if (!d.is_array() || !r.is_array()) return false;
-  for (auto& row : d)
-    if (!sound(row, 4) || row[2] > row[1]) return false;
-  for (auto& row : r)
-    if (!sound(row, 4)) return false;
-  auto enter = [&](std::map<Key, Sight>& table, const std::string& name, Seen seen) {
-    seen.at = now;
-    auto& s = table[{name, zone}];
-    if (s.nodes.empty()) s.since = now;
-    s.nodes[node] = seen;
-    return &s;
-  };
-  for (auto& row : d) {
-    auto* s = enter(databases_, row[0], {row[1], row[2], 0, 0, row[3], row[4] != 0, 0});
-    judge(now, {row[0], zone}, *s);
+  const Json& databases = message.contains("d") ? message.at("d") : none;
+  const Json& routes = message.contains("r") ? message.at("r") : none;
+  if (!databases.is_array() || !routes.is_array() || !all_sound(databases) || !all_sound(routes))
+    return false;
+  for (auto& row : databases)
+    if (row[2] > row[1]) return false;  // more failed than were asked
+  for (auto& row : databases) {
+    const Key key{row[0], zone};
+    judge(now, key, enter(databases_, key, node, {row[1], row[2], 0, 0, row[3], row[4] != 0, now}));
   }
-  for (auto& row : r) enter(routes_, row[0], {row[1], row[3], row[4], row[2], 0, false, 0});
+  for (auto& row : routes)
+    enter(routes_, {row[0], zone}, node, {row[1], row[3], row[4], row[2], 0, false, now});
   return true;
 }
 
-OutlierDetector::Seen OutlierDetector::sum(const Sight& s) {
-  Seen all;
-  for (auto& [node, x] : s.nodes) {
-    all.asked += x.asked;
-    all.bad += x.bad;
-    all.late += x.late;
-    all.refused += x.refused;
-    all.ms += x.ms * x.asked;
-    all.closed = all.closed || x.closed;
+OutlierDetector::Counts OutlierDetector::sum(const Reports& reports) {
+  Counts all;
+  for (auto& [node, counts] : reports.by_node) {
+    all.asked += counts.asked;
+    all.failed += counts.failed;
+    all.late += counts.late;
+    all.refused += counts.refused;
+    all.mean_ms += counts.mean_ms * counts.asked;
+    all.closed_off = all.closed_off || counts.closed_off;
   }
-  if (all.asked > 0) all.ms /= all.asked;
+  if (all.asked > 0) all.mean_ms /= all.asked;
   return all;
 }
 
-// One line when several nodes of a zone agree: a single one may be at fault itself.
-void OutlierDetector::judge(Millis now, const Key& key, Sight& s) {
-  Seen all = sum(s);
-  int slow = 0, closed = 0;
-  for (auto& [node, x] : s.nodes) {
-    closed += x.closed;
-    slow += !x.closed && x.bad == 0;  // told of for its delay alone
+void OutlierDetector::judge(Instant now, const Key& key, Reports& reports) {
+  const Counts all = sum(reports);
+  int slow = 0;
+  int closed_off = 0;
+  for (auto& [node, counts] : reports.by_node) {
+    closed_off += counts.closed_off;
+    slow += !counts.closed_off && counts.failed == 0;  // told of for its delay alone
   }
   // Nodes that met no failure say nothing: of few requests, most must have failed.
-  std::int64_t least = all.asked >= kMinRequestsForShare ? 25 : 75;
-  bool fails = s.nodes.size() >= 2 && all.bad >= kMinFailures && percent(all.bad, all.asked) >= least;
+  const std::int64_t failing = percent(all.failed, all.asked);
+  const bool failing_share =
+      failing >= (all.asked >= kMinRequestsForShare ? kFailingPercent : kFailingPercentOfFew);
+  const bool fails = reports.by_node.size() >= 2 && all.failed >= kMinFailures && failing_share;
   // Each node alone meets too little to know it: what they know together goes back to them.
-  bool thin = s.nodes.size() >= kMinNodesForEjection && percent(all.bad, all.asked) >= least;
-  if (avoid_ && (fails || thin || closed >= 2) &&
-      (s.avoided_at < 0 || now >= s.avoided_at + kHealthWindowMs / 2)) {
-    s.avoided_at = now;
-    avoid_(key.first, key.second);
+  const bool fails_together = reports.by_node.size() >= kMinNodesForEjection && failing_share;
+  const bool due = !reports.ejected_at || now >= *reports.ejected_at + kHealthWindowMs / 2;
+  if (eject_ && (fails || fails_together || closed_off >= 2) && due) {
+    reports.ejected_at = now;
+    eject_(key.name, key.zone);
   }
-  if (s.told || (!fails && slow < 2 && closed < 2)) return;
-  s.told = true;
-  note_("Database " + key.first + " fails " + std::to_string(percent(all.bad, all.asked)) + "% of " +
-        std::to_string(all.asked) + " requests of " + std::to_string(s.nodes.size()) + " nodes of " +
-        key.second + " and takes " + std::to_string(all.ms) + " ms" +
-        (closed > 0 ? "; " + std::to_string(closed) + " have closed it off." : "."));
+  if (reports.logged || (!fails && slow < 2 && closed_off < 2)) return;
+  reports.logged = true;
+  log_event_("database unhealthy: id=" + key.name + " seen_from=" + key.zone +
+             " failing_percent=" + std::to_string(failing) + " requests=" + std::to_string(all.asked) +
+             " nodes=" + std::to_string(reports.by_node.size()) + " mean_ms=" + std::to_string(all.mean_ms) +
+             " closed_off_by=" + std::to_string(closed_off));
 }
 
-void OutlierDetector::expire(Millis now) {
-  for (auto* table : {&databases_, &routes_})
-    for (auto it = table->begin(); it != table->end();) {
-      auto& [key, s] = *it;
-      std::erase_if(s.nodes, [&](auto& n) { return now > n.second.at + kHealthReportTtlMs; });
-      if (s.nodes.empty() && s.told)
-        note_("Database " + key.first + " serves the nodes of " + key.second + " again.");
-      it = s.nodes.empty() ? table->erase(it) : std::next(it);
-    }
+void OutlierDetector::expire(Instant now) {
+  expire(now, databases_);
+  expire(now, routes_);
+}
+
+void OutlierDetector::expire(Instant now, Table& table) {
+  for (auto it = table.begin(); it != table.end();) {
+    auto& [key, reports] = *it;
+    std::erase_if(reports.by_node, [&](auto& entry) { return now > entry.second.at + kHealthReportTtlMs; });
+    if (reports.by_node.empty() && reports.logged)
+      log_event_("database healthy again: id=" + key.name + " seen_from=" + key.zone);
+    it = reports.by_node.empty() ? table.erase(it) : std::next(it);
+  }
 }
 
-Json OutlierDetector::databases(Millis now) const {
-  Json out = Json::array();
-  for (auto& [key, s] : databases_) {
-    Seen all = sum(s);
-    out.push_back({{"database", key.first},
-                   {"seen_from", key.second},
-                   {"nodes", s.nodes.size()},
-                   {"asked", all.asked},
-                   {"failing_percent", percent(all.bad, all.asked)},
-                   {"mean_ms", all.ms},
-                   {"closed_off", all.closed},
-                   {"for_ms", now - s.since}});
+Json OutlierDetector::databases(Instant now) const {
+  Json rows = Json::array();
+  for (auto& [key, reports] : databases_) {
+    const Counts all = sum(reports);
+    rows.push_back({{"database", key.name},
+                    {"seen_from", key.zone},
+                    {"nodes", reports.by_node.size()},
+                    {"asked", all.asked},
+                    {"failing_percent", percent(all.failed, all.asked)},
+                    {"mean_ms", all.mean_ms},
+                    {"closed_off", all.closed_off},
+                    {"for_ms", now - reports.since}});
   }
-  return out;
+  return rows;
 }
 
-Json OutlierDetector::routes(Millis now) const {
-  Json out = Json::array();
-  for (auto& [key, s] : routes_) {
-    Seen all = sum(s);
-    out.push_back({{"route", key.first},
-                   {"seen_from", key.second},
-                   {"nodes", s.nodes.size()},
-                   {"asked", all.asked},
-                   {"refused_percent", percent(all.refused, all.asked)},
-                   {"failed_percent", percent(all.bad, all.asked)},
-                   {"late_percent", percent(all.late, all.asked)},
-                   {"for_ms", now - s.since}});
+Json OutlierDetector::routes(Instant now) const {
+  Json rows = Json::array();
+  for (auto& [key, reports] : routes_) {
+    const Counts all = sum(reports);
+    rows.push_back({{"route", key.name},
+                    {"seen_from", key.zone},
+                    {"nodes", reports.by_node.size()},
+                    {"asked", all.asked},
+                    {"refused_percent", percent(all.refused, all.asked)},
+                    {"failed_percent", percent(all.failed, all.asked)},
+                    {"late_percent", percent(all.late, all.asked)},
+                    {"for_ms", now - reports.since}});
   }
-  return out;
+  return rows;
 }
 
 }  // namespace pebblespindle
--- a/src/health/outlier_detector.h
+++ b/src/health/outlier_detector.h
@@ -1,8 +1,10 @@
-// What the nodes of this core meet: by database and zone, and by route and zone. Judged by results alone,
-// whatever health answers say. No I/O; time is handed in.
+// What the nodes of this controller meet: by database and zone, and by route and zone. Judged by results
+// alone, whatever health answers say: several nodes of a zone have to agree, for a single one may be at fault
+// itself. No I/O; time is handed in.
 #pragma once
 #include <functional>
 #include <map>
+#include <optional>
 #include <string>
 
 #include "base/json_schema.h"
@@ -11,36 +13,46 @@
 
 class OutlierDetector {
  public:
-  // avoid: the nodes of a zone together find that a database fails; said again while they do.
-  using Avoid = std::function<void(const std::string& database, const std::string& zone)>;
-  explicit OutlierDetector(std::function<void(const std::string&)> note, Avoid avoid = {})
-      : note_(std::move(note)), avoid_(std::move(avoid)) {}
+  // The nodes of a zone together find that a database fails; called again while they do.
+  using Eject = std::function<void(const std::string& database, const std::string& zone)>;
+  explicit OutlierDetector(std::function<void(const std::string&)> log_event, Eject eject = {})
+      : log_event_(std::move(log_event)), eject_(std::move(eject)) {}
 
   // A node's report of what was out of the ordinary in its last window: {"d": [[database, asked, failed, ms,
-  // closed off], ...], "r": [[route, asked, refused, failed, late], ...]}. False: figures that cannot be.
-  bool report(Millis now, const std::string& zone, const std::string& node, const Json& m);
-  void expire(Millis now);
-  Json databases(Millis now) const;
-  Json routes(Millis now) const;
+  // closed off], ...], "r": [[route, asked, refused, failed, late], ...]}. False, and nothing is entered:
+  // counts that cannot be.
+  bool report(Instant now, const std::string& zone, const std::string& node, const Json& message);
+  void expire(Instant now);
+  // For status: a row for each database, or route, and zone that reports it.
+  Json databases(Instant now) const;
+  Json routes(Instant now) const;
 
  private:
-  struct Seen {
-    std::int64_t asked = 0, bad = 0, late = 0, refused = 0, ms = 0;
-    bool closed = false;
-    Millis at = 0;
+  struct Counts {
+    std::int64_t asked = 0, failed = 0, late = 0, refused = 0, mean_ms = 0;
+    bool closed_off = false;  // the node sends it nothing
+    Instant at = 0;
   };
-  struct Sight {
-    std::map<std::string, Seen> nodes;
-    Millis since = 0;
-    bool told = false;
-    Millis avoided_at = -1;
+  struct Reports {
+    std::map<std::string, Counts> by_node;
+    Instant since = 0;
+    bool logged = false;
+    std::optional<Instant> ejected_at;
   };
-  using Key = std::pair<std::string, std::string>;  // database or route, zone of the nodes
-  static Seen sum(const Sight& s);
-  void judge(Millis now, const Key& key, Sight& s);
-  std::function<void(const std::string&)> note_;
-  Avoid avoid_;
-  std::map<Key, Sight> databases_, routes_;
+  struct Key {
+    std::string name;  // of a database or a route
+    std::string zone;  // of the nodes
+    auto operator<=>(const Key&) const = default;
+  };
+  using Table = std::map<Key, Reports>;
+  static Counts sum(const Reports& reports);
+  static Reports& enter(Table& table, const Key& key, const std::string& node, const Counts& counts);
+  void judge(Instant now, const Key& key, Reports& reports);
+  void expire(Instant now, Table& table);
+
+  std::function<void(const std::string&)> log_event_;
+  Eject eject_;
+  Table databases_, routes_;
 };
 
 }  // namespace pebblespindle
