--- a/src/agent/controller_directory.cc
+++ b/src/agent/controller_directory.cc
@@ -4,7 +4,7 @@
 
 namespace pebblespindle {
 
-ControllerDirectory::ControllerDirectory(std::string node_name, std::string zone,
+ControllerDirectory::ControllerDirectory(const std::string& node_name, std::string zone,
                                          const std::vector<Endpoint>& seeds)
     : zone_(std::move(zone)), first_(std::hash<std::string>()(node_name)), seeds_(seeds) {
   for (auto& seed : seeds_) entries_.push_back({seed.host, ""});
--- a/src/agent/controller_directory.h
+++ b/src/agent/controller_directory.h
@@ -13,7 +13,7 @@
   struct Entry {
     std::string host, zone;  // the zone is empty until a controller has told it
   };
-  ControllerDirectory(std::string node_name, std::string zone, const std::vector<Endpoint>& seeds);
+  ControllerDirectory(const std::string& node_name, std::string zone, const std::vector<Endpoint>& seeds);
 
   void set_seeds(const std::vector<Endpoint>& seeds);
   // The controllers in the view, as one of them tells, and the seeds; others are forgotten. An empty list
--- a/src/base/json_schema.cc
+++ b/src/base/json_schema.cc
@@ -36,9 +36,9 @@
 }
 
 Result<Json> parse_json(std::string_view text) {
-  Json j = Json::parse(text, nullptr, false);
-  if (j.is_discarded()) return Status::invalid_argument("not readable as JSON");
-  return j;
+  Json document = Json::parse(text, nullptr, false);
+  if (document.is_discarded()) return Status::invalid_argument("not readable as JSON");
+  return document;
 }
 
 }  // namespace pebblespindle
--- a/src/controller/constants.h
+++ b/src/controller/constants.h
@@ -16,7 +16,5 @@
 constexpr std::size_t kMaxEvents = 60;
 // ms; a core that ends waits this long for its successor: half of the usual grace period
 constexpr Millis kHandOverTimeoutMs = 3000;
-// ms; a database that turned a connection away is spared this long: one refusal a minute tells
-constexpr Millis kConnectionLimitTtlMs = 60000;
 
 }  // namespace pebblespindle
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -9,6 +9,7 @@
 #include "config/command_validation.h"
 #include "controller/constants.h"
 #include "failover/constants.h"
+#include "health/constants.h"
 #include "membership/constants.h"
 #include "net/constants.h"
 #include "quota/constants.h"
--- a/src/health/constants.h
+++ b/src/health/constants.h
@@ -22,5 +22,7 @@
 constexpr std::int64_t kMaxCountInWindow = 10'000'000;
 // Nodes of a zone that each met a failure; reads may go elsewhere on less than what is worth a line
 constexpr std::size_t kMinNodesForEjection = 3;
+// ms; a database that turned a connection away is spared this long: one refusal a minute tells
+constexpr Millis kConnectionLimitTtlMs = 60000;
 
 }  // namespace pebblespindle
--- a/src/net/event_loop.cc
+++ b/src/net/event_loop.cc
@@ -11,10 +11,10 @@
   return duration_cast<milliseconds>(steady_clock::now().time_since_epoch()).count();
 }
 
-void EventLoop::on_signal(int number, std::function<void()> fn) {
+void EventLoop::on_signal(int number, std::function<void()> callback) {
   signals_.add(number);
   bool first = handlers_.empty();
-  handlers_[number] = std::move(fn);
+  handlers_[number] = std::move(callback);
   if (first) wait_signal();
 }
 
@@ -28,10 +28,10 @@
   });
 }
 
-void EventLoop::every(Millis period, std::function<void()> fn) {
-  timers_.at(now() + period, [this, period, fn] {
-    fn();
-    every(period, fn);
+void EventLoop::every(Millis period, std::function<void()> callback) {
+  timers_.at(now() + period, [this, period, callback] {
+    callback();
+    every(period, callback);
   });
   rearm();
 }
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -13,8 +13,8 @@
   Millis now() const;
   asio::io_context& io() { return io_; }
   TimerQueue& timers() { return timers_; }
-  void on_signal(int number, std::function<void()> fn);
-  void every(Millis period, std::function<void()> fn);
+  void on_signal(int number, std::function<void()> callback);
+  void every(Millis period, std::function<void()> callback);
   // Re-arms the one kernel timer; called after anything that may have set an earlier timer.
   void rearm();
   void run();
--- a/src/net/timer_queue.h
+++ b/src/net/timer_queue.h
@@ -11,9 +11,9 @@
 class TimerQueue {
  public:
   using Id = std::uint64_t;
-  Id at(Millis when, std::function<void()> fn) {
+  Id at(Millis when, std::function<void()> callback) {
     Id id = ++last_;
-    queue_.emplace(std::make_pair(when, id), std::move(fn));
+    queue_.emplace(std::make_pair(when, id), std::move(callback));
     when_[id] = when;
     return id;
   }
--- a/src/pooler/constants.h
+++ b/src/pooler/constants.h
@@ -48,8 +48,6 @@
 constexpr double kHedgeFactor = 1.5;
 // Per answer; a slow spell is forgotten after some hundred answers
 constexpr double kWorstLatencyDecay = 0.995;
-// ms; the platform asks each second and needs two misses
-constexpr Millis kUnreadinessNoticeMs = 2500;
 // Connections left for the core's own calls and for joiners
 constexpr int kReservedConnections = 4;
 // Sessions a pooler accepts; below its descriptor limit
--- a/src/pooler/engine.h
+++ b/src/pooler/engine.h
@@ -6,7 +6,7 @@
 #include <unordered_map>
 
 #include "config/cluster_state.h"
-#include "controller/constants.h"
+#include "health/constants.h"
 #include "net/timer_queue.h"
 #include "pooler/constants.h"
 #include "pooler/freshness.h"
--- a/src/pooler/pooler.cc
+++ b/src/pooler/pooler.cc
@@ -15,6 +15,7 @@
 #include "pooler/control_feed.h"
 #include "pooler/engine.h"
 #include "proxy/agent_link.h"
+#include "proxy/constants.h"
 #include "replication/timing.h"
 #include "settings/run_role.h"
 
--- a/src/quota/bounded_counter.h
+++ b/src/quota/bounded_counter.h
@@ -17,22 +17,22 @@
 class BoundedCounter {
  public:
   Rights rights() const {
-    Rights r = credited_ - used_;
-    for (auto& [from, n] : got_) r += n;
-    for (auto& [to, n] : given_) r -= n;
-    return r;
+    Rights sum = credited_ - used_;
+    for (auto& [from, received] : got_) sum += received;
+    for (auto& [to, given] : given_) sum -= given;
+    return sum;
   }
-  void credit(Rights n) { credited_ += std::max<Rights>(0, n); }  // R[i][i]
+  void credit(Rights amount) { credited_ += std::max<Rights>(0, amount); }  // R[i][i]
   // U[i]; only when covered.
-  bool debit(Rights n) {
-    if (n < 0 || rights() < n) return false;
-    used_ += n;
+  bool debit(Rights amount) {
+    if (amount < 0 || rights() < amount) return false;
+    used_ += amount;
     return true;
   }
   // R[i][to], as it stands after giving; only what is covered is given.
-  Rights give(const Holder& to, Rights n) {
+  Rights give(const Holder& to, Rights amount) {
     Rights& sum = given_[to];
-    if (n > 0 && rights() >= n) sum += n;
+    if (amount > 0 && rights() >= amount) sum += amount;
     return sum;
   }
   Rights given(const Holder& to) const {
--- a/tools/scale_run.py
+++ b/tools/scale_run.py
@@ -36,6 +36,25 @@
     return int(answer.split(b" ", 2)[1]) if answer else 0
 
 
+def start_cores(binary, cores, folder, base, command="controller"):
+    """Starts controllers with settings and disks of their own in a folder; returns their hosts and processes."""
+    processes = []
+    hosts = [f"127.0.{base}.{i + 1}" for i in range(cores)]
+    for i, host in enumerate(hosts):
+        data = os.path.join(folder, f"core{i}")
+        os.mkdir(data)
+        settings = {"NodeName": f"core{i}", "IpAddress": host, "Zone": "z",
+                    "Listeners": {"ControlPlane": f"{host}:7500"}, "InternalPortRange": [7440, 7455],
+                    "SeedNodes": [f"{h}:7500" for h in hosts[:3]], "Bootstrap": True, "DataDirectory": data,
+                    "FaultTolerance": {"MachineLosses": cores // 2}}
+        path = os.path.join(folder, f"core{i}.json")
+        with open(path, "w") as f:
+            json.dump(settings, f)
+        processes.append(subprocess.Popen([binary, command], stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL,
+                                          env=dict(os.environ, PEBBLESPINDLE_SETTINGS=path)))
+    return hosts, processes
+
+
 class Node:
     def __init__(self, name, host, port, run):
         self.name, self.host, self.port, self.run = name, host, port, run
@@ -87,22 +106,7 @@
             self.done[revision] = time.monotonic()
 
     def start_cores(self, folder):
-        processes = []
-        hosts = [f"127.0.{self.base}.{i + 1}" for i in range(self.cores)]
-        for i, host in enumerate(hosts):
-            data = os.path.join(folder, f"core{i}")
-            os.mkdir(data)
-            settings = {"NodeName": f"core{i}", "IpAddress": host, "Zone": "z",
-                        "Listeners": {"ControlPlane": f"{host}:7500"}, "InternalPortRange": [7440, 7455],
-                        "SeedNodes": [f"{h}:7500" for h in hosts[:3]], "Bootstrap": True, "DataDirectory": data,
-                        "FaultTolerance": {"MachineLosses": self.cores // 2}}
-            path = os.path.join(folder, f"core{i}.json")
-            with open(path, "w") as f:
-                json.dump(settings, f)
-            processes.append(subprocess.Popen([self.binary, "controller"], stdout=subprocess.DEVNULL,
-                                              stderr=subprocess.DEVNULL,
-                                              env=dict(os.environ, PEBBLESPINDLE_SETTINGS=path)))
-        return hosts, processes
+        return start_cores(self.binary, self.cores, folder, self.base)
 
     @staticmethod
     def used(process):
