--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -110,7 +110,7 @@
                        {"X-Pebblespindle-Duty-Holder", settings_.node_name},
                        {"X-Pebblespindle-Fence-Token", std::to_string(replica_->view().term)}}};
   http_call(
-      loop_.io(), *settings_.platform, request, {kPlatformTimeoutMs, kPromoteLapseMs},
+      loop_.io(), *settings_.platform, request, {kPlatformTimeoutMs, kPromoteExpiryMs},
       [this, done](const HttpReply& reply) {
         done(failover::promote_outcome(reply.status));
         loop_.rearm();
@@ -429,11 +429,12 @@
   const std::string zone = report.value("z", "");
   failover::Suspicions& suspicions = failover_->suspicions();
   if (report.value("ok", false))
-    suspicions.clear_missing(id, node);
+    suspicions.clear_missed_reply(id, node);
   else if (report.value("slow", false))
     suspicions.report_slow(now, id, zone, node);
   else
-    suspicions.report_missing(now, id, zone, node, report.value("r", false), report.value("once", false));
+    suspicions.report_missed_reply(now, id, zone, node, report.value("r", false),
+                                   report.value("once", false));
   failover_->tick(now);
 }
 
--- a/src/failover/departed_settlement.cc
+++ b/src/failover/departed_tracker.cc
@@ -1,4 +1,4 @@
-#include "failover/departed_settlement.h"
+#include "failover/departed_tracker.h"
 
 #include <algorithm>
 
@@ -7,58 +7,58 @@
 
 namespace pebblespindle::failover {
 
-bool DepartedSettlement::has_ended(const DepartedInstance& departed, Instant now, Millis drain_ms) const {
-  return has_departed_process_ended(departed, signs_.of(departed.instance.id), now, drain_ms);
+bool DepartedTracker::has_ended(const DepartedInstance& departed, Instant now, Millis drain_ms) const {
+  return has_departed_process_ended(departed, liveness_.of(departed.instance.id), now, drain_ms);
 }
 
-void DepartedSettlement::clear() {
+void DepartedTracker::clear() {
   watches_.clear();
-  signs_.forget_all();
+  liveness_.forget_all();
 }
 
 // One round: the departed are asked whether they run, then the primary where its log ends, then the replicas.
-void DepartedSettlement::tick(const ServiceView& view, Instant now, Millis drain_ms) {
+void DepartedTracker::tick(const ServiceView& view, Instant now, Millis drain_ms) {
   if (view.departed.empty() || view.assignment.suspended) {
     watches_.erase(view.service);
     return;
   }
   Watch& watch = watches_[view.service];
   if (watch.awaited > 0 || now < watch.next_at) return;
-  watch.next_at = now + kSettlementIntervalMs;
+  watch.next_at = now + kDepartedCheckIntervalMs;
   watch.round = ++last_round_;
-  forget_needless(view);
-  if (watch.primary_position) return ask_replicas(view, watch);
+  forget_continued(view);
+  if (watch.primary_position) return query_replicas(view, watch);
   watch.ended.clear();
   for (auto& departed : view.departed)
     if (departed.heir.empty() && has_ended(departed, now, drain_ms))
       watch.ended.push_back(departed.instance.id);
-  if (!watch.ended.empty()) ask_primary(view, watch);
-  ask_departed(view, watch, now);
+  if (!watch.ended.empty()) query_primary(view, watch);
+  query_departed(view, watch, now);
 }
 
 // A former primary whose heir is registered, once another leads.
-void DepartedSettlement::forget_needless(const ServiceView& view) {
+void DepartedTracker::forget_continued(const ServiceView& view) {
   for (auto& departed : view.departed) {
     const bool followed = !departed.heir.empty() && departed.instance.id != view.assignment.primary;
     if (followed) forget_(departed.instance.id);
   }
 }
 
-void DepartedSettlement::ask_departed(const ServiceView& view, Watch& watch, Instant now) {
+void DepartedTracker::query_departed(const ServiceView& view, Watch& watch, Instant now) {
   for (auto& departed : view.departed) {
     const InstanceId id = departed.instance.id;
     if (!departed.heir.empty() || std::count(watch.ended.begin(), watch.ended.end(), id) > 0) continue;
     ++watch.awaited;
     query_(departed.instance, "INFO",
            [this, service = view.service, round = watch.round, id, now](const DatabaseReply& reply) {
-             signs_.on_reply(now, id, reply);
+             liveness_.on_reply(now, id, reply);
              auto it = watches_.find(service);
              if (it != watches_.end() && it->second.round == round) --it->second.awaited;
            });
   }
 }
 
-void DepartedSettlement::ask_primary(const ServiceView& view, Watch& watch) {
+void DepartedTracker::query_primary(const ServiceView& view, Watch& watch) {
   const Instance* primary = view.find_registered(view.assignment.primary);
   if (!primary) return;
   ++watch.awaited;
@@ -74,7 +74,7 @@
          });
 }
 
-void DepartedSettlement::ask_replicas(const ServiceView& view, Watch& watch) {
+void DepartedTracker::query_replicas(const ServiceView& view, Watch& watch) {
   for (auto& replica : view.registered) {
     if (replica.id == view.assignment.primary) continue;
     ++watch.awaited;
@@ -88,7 +88,7 @@
       if (!covers) return;
       for (auto& id : std::exchange(latest.ended, {})) {
         forget_(id);
-        signs_.forget(id);
+        liveness_.forget(id);
       }
       latest.primary_position.reset();
     });
--- a/src/failover/departed_settlement.h
+++ b/src/failover/departed_tracker.h
@@ -13,11 +13,11 @@
 
 namespace pebblespindle::failover {
 
-class DepartedSettlement {
+class DepartedTracker {
  public:
   using Forget = std::function<void(const InstanceId&)>;
 
-  DepartedSettlement(QueryDatabase query, Forget forget)
+  DepartedTracker(QueryDatabase query, Forget forget)
       : query_(std::move(query)), forget_(std::move(forget)) {}
   // Looks at the service now and then; not while its primary is being replaced.
   void tick(const ServiceView& view, Instant now, Millis drain_ms);
@@ -34,15 +34,15 @@
     std::optional<Position> primary_position;  // at a moment after the processes had ended
     std::vector<InstanceId> ended;             // at that moment
   };
-  void ask_departed(const ServiceView& view, Watch& watch, Instant now);
-  void ask_primary(const ServiceView& view, Watch& watch);
-  void ask_replicas(const ServiceView& view, Watch& watch);
-  void forget_needless(const ServiceView& view);
+  void query_departed(const ServiceView& view, Watch& watch, Instant now);
+  void query_primary(const ServiceView& view, Watch& watch);
+  void query_replicas(const ServiceView& view, Watch& watch);
+  void forget_continued(const ServiceView& view);
 
   QueryDatabase query_;
   Forget forget_;
   std::map<std::string, Watch> watches_;  // by service
-  ProcessSigns signs_;
+  ProcessLivenessTable liveness_;
   std::uint64_t last_round_ = 0;
 };
 
--- a/src/failover/failover.cc
+++ b/src/failover/failover.cc
@@ -11,7 +11,7 @@
     : state_(state),
       callbacks_(std::move(callbacks)),
       drain_ms_(drain_ms),
-      settlement_(
+      departed_tracker_(
           callbacks_.query,
           [this](const InstanceId& id) { callbacks_.submit(forget_departed(id), [](const Status&) {}); }),
       releases_(callbacks_.query, [this](const std::string& service) { finish_release(service); }) {}
@@ -27,7 +27,7 @@
   return read_service_view(state_, cluster(), service);
 }
 
-Surroundings Failover::surroundings(const ServiceView& view) const {
+Environment Failover::environment_of(const ServiceView& view) const {
   return {now_, callbacks_.is_leader(), callbacks_.fencing_token(),
           callbacks_.acknowledged_by_all_nodes(view.assignment_sequence), drain_ms_};
 }
@@ -44,7 +44,7 @@
   auto it = operations_.find(instance.service);
   const bool awaited = it != operations_.end() && it->second.step == Step::kAwaitingPrimary;
   if (awaited && instance.primary && callbacks_.is_leader())
-    handle(instance.service, PrimaryHeard{instance.id});
+    handle(instance.service, PrimaryReported{instance.id});
 }
 
 void Failover::tick(Instant now) {
@@ -58,11 +58,11 @@
   if (!callbacks_.is_leader()) return;  // with a change of view it comes back in a moment
   const auto assignments = cluster().primaries();
   std::set<std::string> departed_from;
-  if (cluster().departed().empty()) settlement_.clear();
+  if (cluster().departed().empty()) departed_tracker_.clear();
   for (auto& [id, departed] : cluster().departed()) departed_from.insert(departed.instance.service);
   for (auto& [service, assignment] : assignments) {
     advance(service, assignment);
-    look_after(service, departed_from.count(service) > 0);
+    run_maintenance(service, departed_from.count(service) > 0);
   }
 }
 
@@ -73,14 +73,14 @@
 }
 
 // What goes on outside of failovers: those paused are released, those that have left are watched.
-void Failover::look_after(const std::string& service, bool any_departed) {
+void Failover::run_maintenance(const std::string& service, bool any_departed) {
   const PrimaryAssignment* assignment = cluster().primary_of(service);
   const bool releasing = assignment && !assignment->suspended && assignment->releasing;
   if (!releasing) releases_.forget(service);
   if (!releasing && !any_departed) return;
   const ServiceView view = view_of(service);
   if (releasing) releases_.tick(view, now_);
-  settlement_.tick(view, now_, drain_ms_);
+  departed_tracker_.tick(view, now_, drain_ms_);
 }
 
 void Failover::finish_release(const std::string& service) {
@@ -95,18 +95,18 @@
 
 void Failover::handle(const std::string& service, const Event& event) {
   const ServiceView view = view_of(service);
-  const Surroundings around = surroundings(view);
-  auto actions = StepMachine(view, around, operations_[service]).handle(event);
-  for (auto& action : actions) carry_out(service, action);
+  const Environment environment = environment_of(view);
+  auto actions = StepMachine(view, environment, operations_[service]).handle(event);
+  for (auto& action : actions) execute(service, action);
 }
 
-void Failover::carry_out(const std::string& service, const Action& action) {
+void Failover::execute(const std::string& service, const Action& action) {
   if (auto* line = std::get_if<LogLine>(&action)) return callbacks_.log_event(line->text);
   if (auto* wanted = std::get_if<Query>(&action)) return query(service, *wanted);
   if (auto* wanted = std::get_if<Submit>(&action)) return submit(service, *wanted);
   if (auto* wanted = std::get_if<CallPlatform>(&action)) return call_platform(service, *wanted);
   suspicions_.clear_all();
-  look_after(service, false);
+  run_maintenance(service, false);
 }
 
 void Failover::query(const std::string& service, const Query& wanted) {
@@ -123,9 +123,10 @@
 }
 
 void Failover::call_platform(const std::string& service, const CallPlatform& wanted) {
-  callbacks_.promote(service, wanted.successor, [this, service, call = wanted.call](PromoteOutcome outcome) {
-    handle(service, PromoteAnswered{call, outcome});
-  });
+  callbacks_.promote(service, wanted.successor,
+                     [this, service, call = wanted.call_number](PromoteOutcome outcome) {
+                       handle(service, PromoteAnswered{call, outcome});
+                     });
 }
 
 // --- whether a failover is due
@@ -149,7 +150,7 @@
   if (has_successor && primary.draining && may_hand_over(service))
     return begin(service, true, "the primary is leaving");
   if (has_successor && is_slow(service, primary.id) && may_hand_over(service)) {
-    handed_over_for_slowness_[service] = now_;
+    last_slow_hand_over_[service] = now_;
     return begin(service, true, "the primary is slow");
   }
   if (suspicions_.should_query(now_, primary.id)) query_suspect(service, primary);
@@ -164,7 +165,7 @@
   const ServiceView view = view_of(service);
   Operation& operation = operations_[service];
   for (auto& call : view.record.calls) operation.call_seen_at.emplace(call.number, now_);
-  return open_calls(view, surroundings(view), operation).empty();
+  return pending_calls(view, environment_of(view), operation).empty();
 }
 
 // True when nothing else is to be considered: it has left.
@@ -175,16 +176,16 @@
       std::any_of(all.begin(), all.end(), [](auto* other) { return !other->draining; });
   // One that has told of its end and still runs tells what it has committed.
   auto departed = cluster().departed().find(assignment.primary);
-  const bool runs =
-      departed != cluster().departed().end() && !settlement_.has_ended(departed->second, now_, drain_ms_);
+  const bool runs = departed != cluster().departed().end() &&
+                    !departed_tracker_.has_ended(departed->second, now_, drain_ms_);
   if (runs && !may_hand_over(service)) return true;
   if (!all.empty() && (has_successor || !runs)) begin(service, runs, "the primary has left");
   return true;
 }
 
 bool Failover::is_slow(const std::string& service, const InstanceId& primary) {
-  auto last = handed_over_for_slowness_.find(service);
-  if (last != handed_over_for_slowness_.end() && now_ < last->second + kSlowHandOverIntervalMs) return false;
+  auto last = last_slow_hand_over_.find(service);
+  if (last != last_slow_hand_over_.end() && now_ < last->second + kSlowHandOverIntervalMs) return false;
   return suspicions_.nodes_agree_slow(now_, primary, callbacks_.node_count());
 }
 
@@ -202,7 +203,7 @@
   if (answers) return suspicions_.on_query_answered(now_, primary);
   // Silence counts only while nodes of two zones still miss every answer: a link may be at fault.
   const bool silent = reply.kind == DatabaseReply::Kind::kSilent;
-  if (silent && suspicions_.zones_missing(now_, primary) < 2) return;
+  if (silent && suspicions_.zones_missing_replies(now_, primary) < 2) return;
   suspicions_.clear(primary);
   const PrimaryAssignment* current = cluster().primary_of(service);
   if (current && !current->suspended && current->primary == primary && callbacks_.is_leader())
@@ -216,8 +217,8 @@
   auto other = std::find_if(all.begin(), all.end(),
                             [&](auto* each) { return each->primary && each->id != assignment.primary; });
   if (other == all.end()) return;
-  Instant& asked_at = other_leader_asked_at_[service];
-  if (asked_at != 0 && now_ < asked_at + kOtherLeaderIntervalMs) return;
+  Instant& asked_at = other_leader_queried_at_[service];
+  if (asked_at != 0 && now_ < asked_at + kOtherLeaderQueryIntervalMs) return;
   asked_at = now_;
   callbacks_.query(**other, "INFO", [this, service, id = (*other)->id](const DatabaseReply& reply) {
     on_other_leader(service, id, reply);
--- a/src/failover/failover.h
+++ b/src/failover/failover.h
@@ -12,7 +12,7 @@
 #include <set>
 
 #include "config/cluster_state.h"
-#include "failover/departed_settlement.h"
+#include "failover/departed_tracker.h"
 #include "failover/release.h"
 #include "failover/step_machine.h"
 #include "failover/suspicions.h"
@@ -49,16 +49,16 @@
  private:
   const ClusterState& cluster();
   ServiceView view_of(const std::string& service);
-  Surroundings surroundings(const ServiceView& view) const;
+  Environment environment_of(const ServiceView& view) const;
 
   void advance(const std::string& service, const PrimaryAssignment& assignment);
   void handle(const std::string& service, const Event& event);
-  void carry_out(const std::string& service, const Action& action);
+  void execute(const std::string& service, const Action& action);
   void query(const std::string& service, const Query& wanted);
   void submit(const std::string& service, const Submit& wanted);
   void call_platform(const std::string& service, const CallPlatform& wanted);
   void finish_release(const std::string& service);
-  void look_after(const std::string& service, bool any_departed);
+  void run_maintenance(const std::string& service, bool any_departed);
 
   // Whether a failover is due.
   void consider_failover(const std::string& service, const PrimaryAssignment& assignment);
@@ -76,13 +76,13 @@
   const Millis drain_ms_;
   ClusterState cluster_;
   Suspicions suspicions_;
-  DepartedSettlement settlement_;
+  DepartedTracker departed_tracker_;
   Releases releases_;
   Instant now_ = 0;  // of the last call
   std::uint64_t token_ = 0;
-  std::map<std::string, Operation> operations_;              // by service
-  std::map<std::string, Instant> handed_over_for_slowness_;  // by service, the last time
-  std::map<std::string, Instant> other_leader_asked_at_;     // by service
+  std::map<std::string, Operation> operations_;             // by service
+  std::map<std::string, Instant> last_slow_hand_over_;      // by service, the last time
+  std::map<std::string, Instant> other_leader_queried_at_;  // by service
 };
 
 }  // namespace pebblespindle::failover
--- a/src/failover/log_holders.cc
+++ b/src/failover/log_holders.cc
@@ -21,7 +21,7 @@
 std::optional<Replacement> replacement_of(const Operation& operation, const InstanceId& id) {
   InstanceId current = id;
   for (int hop = 0; hop < kMaxReplacements; ++hop) {
-    const InstanceId& next = operation.signs.of(current).replaced_by;
+    const InstanceId& next = operation.liveness.of(current).replaced_by;
     if (next.empty()) break;
     // It was asked by its own ID and by this service's name: the name is what it does not know.
     if (next == current) return Replacement{current, true};
@@ -54,13 +54,14 @@
   kTakenAlong,
 };
 
-Absence absence_of(const ServiceView& view, const Surroundings& around, const Operation& operation,
+Absence absence_of(const ServiceView& view, const Environment& environment, const Operation& operation,
                    const LogHolder& holder) {
-  const ProcessSign& sign = operation.signs.of(holder.instance.id);
+  const ProcessLiveness& liveness = operation.liveness.of(holder.instance.id);
   if (holder.kind == Kind::kDeparted) {
     const DepartedInstance* departed = view.find_departed(holder.instance.id);
-    return has_departed_process_ended(*departed, sign, around.now, around.drain_ms) ? Absence::kTakenAlong
-                                                                                    : Absence::kAwaited;
+    return has_departed_process_ended(*departed, liveness, environment.now, environment.drain_ms)
+               ? Absence::kTakenAlong
+               : Absence::kAwaited;
   }
   const auto replacement = replacement_of(operation, holder.instance.id);
   if (!replacement) return Absence::kAwaited;
@@ -71,7 +72,7 @@
 
 }  // namespace
 
-bool is_heir_of_primary(const ServiceView& view, const Operation& operation, const InstanceId& id) {
+bool continues_primary_log(const ServiceView& view, const Operation& operation, const InstanceId& id) {
   const InstanceId& primary = view.assignment.primary;
   const DepartedInstance* departed = view.find_departed(primary);
   if (departed && departed->heir == id) return true;
@@ -80,13 +81,13 @@
   return replacement && replacement->id == id && registered && continues_log(*registered);
 }
 
-bool has_departed_process_ended(const DepartedInstance& departed, const ProcessSign& sign, Instant now,
-                                Millis drain_ms) {
-  if (!departed.heir.empty() || sign.has_ended()) return true;
-  if (!sign.silent_since) return false;
+bool has_departed_process_ended(const DepartedInstance& departed, const ProcessLiveness& liveness,
+                                Instant now, Millis drain_ms) {
+  if (!departed.heir.empty() || liveness.has_ended()) return true;
+  if (!liveness.silent_since) return false;
   // One that was draining ends as it leaves; one that was not serves on for a while, and may be out of reach.
-  const Millis patience = kEndedSilenceMs + (departed.instance.draining ? 0 : drain_ms);
-  return now >= *sign.silent_since + patience;
+  const Millis patience = kDepartedSilenceMs + (departed.instance.draining ? 0 : drain_ms);
+  return now >= *liveness.silent_since + patience;
 }
 
 std::vector<LogHolder> log_holders(const ServiceView& view, const Operation& operation) {
@@ -94,7 +95,7 @@
   for (auto& instance : view.registered) holders.push_back({instance, Kind::kRegistered});
   for (auto& departed : view.departed) {
     const bool is_primary = departed.instance.id == view.assignment.primary;
-    if (!departed.heir.empty() || (!operation.committed.none() && !is_primary)) continue;
+    if (!departed.heir.empty() || (!operation.primary_committed.none() && !is_primary)) continue;
     holders.push_back({departed.instance, Kind::kDeparted});
     holders.back().instance.draining = true;
   }
@@ -106,7 +107,7 @@
   return holders;
 }
 
-LogSurvey survey_logs(const ServiceView& view, const Surroundings& around, const Operation& operation) {
+LogSurvey survey_logs(const ServiceView& view, const Environment& environment, const Operation& operation) {
   LogSurvey survey;
   std::vector<InstanceId> ended;
   for (auto& holder : log_holders(view, operation)) {
@@ -114,48 +115,49 @@
     if (id == view.assignment.primary && !operation.primary_follows) continue;
     auto reply = operation.replies.find(id);
     if (reply == operation.replies.end() || reply->second.kind != DatabaseReply::Kind::kRow) {
-      const Absence absence = absence_of(view, around, operation, holder);
-      if (absence == Absence::kAwaited && holder.required) survey.awaited.push_back(id);
+      const Absence absence = absence_of(view, environment, operation, holder);
+      if (absence == Absence::kAwaited && holder.required) survey.unreachable.push_back(id);
       if (absence == Absence::kTakenAlong) ended.push_back(id);
       continue;
     }
     survey.reachable.push_back(holder);
     const Position& received = reply->second.info.received;
-    if (!survey.furthest || received > *survey.furthest) survey.furthest = received;
-    if (id == view.assignment.primary || is_heir_of_primary(view, operation, id))
+    if (!survey.newest_position || received > *survey.newest_position) survey.newest_position = received;
+    if (id == view.assignment.primary || continues_primary_log(view, operation, id))
       survey.has_primary_log = true;
   }
   for (auto& id : ended) {
-    auto known = operation.received.find(id);
-    const bool covered =
-        known != operation.received.end() && survey.furthest && known->second <= *survey.furthest;
-    if (!covered) survey.taken_along.push_back(id);
+    auto known = operation.received_positions.find(id);
+    const bool covered = known != operation.received_positions.end() && survey.newest_position &&
+                         known->second <= *survey.newest_position;
+    if (!covered) survey.uncovered.push_back(id);
   }
   return survey;
 }
 
-std::vector<InstanceId> ended_departed(const ServiceView& view, const Surroundings& around,
+std::vector<InstanceId> ended_departed(const ServiceView& view, const Environment& environment,
                                        const Operation& operation) {
   std::vector<InstanceId> ended;
   for (auto& departed : view.departed) {
     const InstanceId& id = departed.instance.id;
-    if (has_departed_process_ended(departed, operation.signs.of(id), around.now, around.drain_ms))
+    if (has_departed_process_ended(departed, operation.liveness.of(id), environment.now,
+                                   environment.drain_ms))
       ended.push_back(id);
   }
   return ended;
 }
 
-std::vector<PromoteCall> open_calls(const ServiceView& view, const Surroundings& around,
-                                    const Operation& operation) {
+std::vector<PromoteCall> pending_calls(const ServiceView& view, const Environment& environment,
+                                       const Operation& operation) {
   std::vector<PromoteCall> open;
   for (auto& call : view.record.calls) {
     if (operation.refused_calls.count(call.number) > 0) continue;
     auto seen = operation.call_seen_at.find(call.number);
-    if (seen != operation.call_seen_at.end() && around.now >= seen->second + kPromoteLapseMs) continue;
+    if (seen != operation.call_seen_at.end() && environment.now >= seen->second + kPromoteExpiryMs) continue;
     // A database that starts anew has another ID: a call that names the former one has no effect.
     const DepartedInstance* departed = view.find_departed(call.successor);
     const bool may_run = view.find_registered(call.successor) || (departed && departed->heir.empty());
-    if (!may_run || operation.signs.of(call.successor).has_ended()) continue;
+    if (!may_run || operation.liveness.of(call.successor).has_ended()) continue;
     open.push_back(call);
   }
   return open;
--- a/src/failover/log_holders.h
+++ b/src/failover/log_holders.h
@@ -27,28 +27,28 @@
 std::vector<LogHolder> log_holders(const ServiceView& view, const Operation& operation);
 
 // Whether that database goes on with the former primary's log under another ID.
-bool is_heir_of_primary(const ServiceView& view, const Operation& operation, const InstanceId& id);
+bool continues_primary_log(const ServiceView& view, const Operation& operation, const InstanceId& id);
 
 struct LogSurvey {
   std::vector<LogHolder> reachable;  // those that told where their logs end; never the living primary
-  std::optional<Position> furthest;
-  std::vector<InstanceId> awaited;      // out of reach, and may hold more
-  std::vector<InstanceId> taken_along;  // ended, with a log that none of the reachable ones is known to cover
+  std::optional<Position> newest_position;
+  std::vector<InstanceId> unreachable;  // out of reach, and may hold more
+  std::vector<InstanceId> uncovered;    // ended, with a log that none of the reachable ones is known to cover
   bool has_primary_log = false;         // the former primary, or its heir, is among the reachable ones
 };
 
-LogSurvey survey_logs(const ServiceView& view, const Surroundings& around, const Operation& operation);
+LogSurvey survey_logs(const ServiceView& view, const Environment& environment, const Operation& operation);
 
 // Whether nothing runs any more under the ID of a database that has left.
-bool has_departed_process_ended(const DepartedInstance& departed, const ProcessSign& sign, Instant now,
-                                Millis drain_ms);
+bool has_departed_process_ended(const DepartedInstance& departed, const ProcessLiveness& liveness,
+                                Instant now, Millis drain_ms);
 
 // The departed databases of which nothing runs any more.
-std::vector<InstanceId> ended_departed(const ServiceView& view, const Surroundings& around,
+std::vector<InstanceId> ended_departed(const ServiceView& view, const Environment& environment,
                                        const Operation& operation);
 
 // The calls of the record that may still take effect.
-std::vector<PromoteCall> open_calls(const ServiceView& view, const Surroundings& around,
-                                    const Operation& operation);
+std::vector<PromoteCall> pending_calls(const ServiceView& view, const Environment& environment,
+                                       const Operation& operation);
 
 }  // namespace pebblespindle::failover
--- a/src/failover/operation.h
+++ b/src/failover/operation.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "base/json_schema.h"
-#include "failover/process_signs.h"
+#include "failover/process_liveness.h"
 #include "failover/promote_outcome.h"
 #include "failover/service_view.h"
 
@@ -29,26 +29,26 @@
 
 struct Operation {
   Step step = Step::kIdle;
-  Instant since = 0, retry_at = 0, suspended_at = 0;
+  Instant entered_at = 0, retry_at = 0, suspended_at = 0;
   std::uint64_t round = 0;       // answers of earlier rounds are dropped
   std::set<InstanceId> awaited;  // who has not answered yet in this round
   std::map<InstanceId, DatabaseReply> replies;
-  std::uint64_t term = 0;                   // the newest that is known
-  std::map<InstanceId, Position> received;  // by replicas, as they told
-  Position committed;            // where a living primary stood once nobody was told of commits any more
-  int position_unknown = 0;      // attempts in which a primary said to be alive did not tell that
-  int pauses_repeated = 0;       // in this attempt, to those that did not run it
-  int lacking = 0;               // attempts in which the others lacked what the primary has
-  bool primary_follows = false;  // the former primary told that it does not lead any more
-  bool primary_needed = false;   // its log alone can bring what another has taken along
+  std::uint64_t term = 0;                             // the newest that is known
+  std::map<InstanceId, Position> received_positions;  // by replicas, as they told
+  Position primary_committed;         // where a living primary stood once nobody was told of commits any more
+  int unknown_position_attempts = 0;  // attempts in which a primary said to be alive did not tell that
+  int pause_retries = 0;              // in this attempt, to those that did not run it
+  int replicas_behind_attempts = 0;   // attempts in which the others lacked what the primary has
+  bool primary_follows = false;       // the former primary told that it does not lead any more
+  bool primary_log_needed = false;    // its log alone can bring what another has taken along
   InstanceId successor;
-  std::uint64_t call = 0;        // the number of the newest promote of this process
-  bool repeat_promote = false;   // the platform had no room for the last one
-  bool successor_heard = false;  // it has told that it leads
+  std::uint64_t call_number = 0;    // the number of the newest promote of this process
+  bool retry_promote = false;       // the platform had no room for the last one
+  bool successor_reported = false;  // it has told that it leads
   // Departed ones that had ended before the successor was chosen: it has all of theirs that was acknowledged.
   std::vector<InstanceId> covered_by_successor;
   // Kept from one failover of the service to the next:
-  ProcessSigns signs;
+  ProcessLivenessTable liveness;
   std::set<std::uint64_t> accepted_calls, refused_calls;
   std::map<std::uint64_t, Instant> call_seen_at;
 };
@@ -71,13 +71,13 @@
   bool committed = false;
 };
 struct PromoteAnswered {
-  std::uint64_t call = 0;
+  std::uint64_t call_number = 0;
   PromoteOutcome outcome = PromoteOutcome::kUnknown;
 };
-struct PrimaryHeard {
+struct PrimaryReported {
   InstanceId id;
 };
-using Event = std::variant<Tick, Begin, Reply, Submitted, PromoteAnswered, PrimaryHeard>;
+using Event = std::variant<Tick, Begin, Reply, Submitted, PromoteAnswered, PrimaryReported>;
 
 // --- what it wants done
 
@@ -91,7 +91,7 @@
   std::uint64_t round = 0;
 };
 struct CallPlatform {
-  std::uint64_t call = 0;
+  std::uint64_t call_number = 0;
   InstanceId successor;
 };
 struct LogLine {
--- a/src/failover/pause.cc
+++ b/src/failover/pause.cc
@@ -19,30 +19,32 @@
   }
   if (receiving.empty()) return retry_after(kFailoverRetryMs);
   enter(Step::kPausing);
-  operation_.pauses_repeated = 0;
+  operation_.pause_retries = 0;
   if (superseded.empty()) return query_all(receiving, "PAUSE " + std::to_string(operation_.term + 1));
   enter(Step::kWaitingForNodes);
-  operation_.retry_at = around_.now + 4 * kPlatformTimeoutMs;
+  operation_.retry_at = environment_.now + 4 * kPlatformTimeoutMs;
   query_all(superseded, "STEPDOWN " + std::to_string(operation_.term));
 }
 
 void Pause::on_replies() {
   if (!view_.assignment.suspended) return enter(Step::kIdle);
   log("paused: replies=" + describe(operation_.replies));
-  if (note_replies()) return retry_after(0);
-  if (repeats_pause()) return;
-  const LogSurvey logs = survey_logs(view_, around_, operation_);
+  if (record_replies()) return retry_after(0);
+  if (retry_failed_pauses()) return;
+  const LogSurvey logs = survey_logs(view_, environment_, operation_);
   const Instance* former = view_.find_registered(view_.assignment.primary);
-  const bool primary_leads = !operation_.committed.none();
+  const bool primary_leads = !operation_.primary_committed.none();
   const bool primary_stays = primary_leads && former && !former->draining;
-  if (!logs.awaited.empty() && primary_stays) return promotion_.abandon();
-  if (waits_for_logs(logs)) return;
-  if (*logs.furthest < operation_.committed) {
+  if (!logs.unreachable.empty() && primary_stays) return promotion_.abandon();
+  if (wait_for_missing_logs(logs)) return;
+  if (*logs.newest_position < operation_.primary_committed) {
     // Something was committed with the help of a database that is not known here: the others receive it
     // first.
-    log("waits: replicas at " + logs.furthest->text() + ", primary at " + operation_.committed.text());
-    if (++operation_.lacking > kMaxLackingAttempts) return step_down(view_.assignment.primary);
-    return let_receive(logs.reachable);
+    log("waits: replicas at " + logs.newest_position->text() + ", primary at " +
+        operation_.primary_committed.text());
+    if (++operation_.replicas_behind_attempts > kMaxReplicasBehindAttempts)
+      return step_down(view_.assignment.primary);
+    return resume_replicas(logs.reachable);
   }
   const LogHolder& successor = choose_successor(logs);
   if (successor.kind == LogHolder::Kind::kUnregistered) {
@@ -52,14 +54,14 @@
   const bool another_stays = std::any_of(logs.reachable.begin(), logs.reachable.end(),
                                          [](auto& replica) { return !replica.instance.draining; });
   // One that stays will have caught up in a moment: the replicas receive once more.
-  if (successor.instance.draining && primary_leads && another_stays) return let_receive(logs.reachable);
-  operation_.covered_by_successor = ended_departed(view_, around_, operation_);
+  if (successor.instance.draining && primary_leads && another_stays) return resume_replicas(logs.reachable);
+  operation_.covered_by_successor = ended_departed(view_, environment_, operation_);
   promotion_.record(successor.instance.id);
 }
 
 // One that answered without running the statement is asked again: the others stay paused.
-bool Pause::repeats_pause() {
-  if (++operation_.pauses_repeated > kMaxPauseRepeats) return false;
+bool Pause::retry_failed_pauses() {
+  if (++operation_.pause_retries > kMaxPauseRetries) return false;
   for (auto& holder : log_holders(view_, operation_)) {
     auto reply = operation_.replies.find(holder.instance.id);
     if (reply == operation_.replies.end() || reply->second.kind != DatabaseReply::Kind::kError) continue;
@@ -70,42 +72,43 @@
 }
 
 // Which commits are in a log out of reach is not known: nothing is promoted over it.
-bool Pause::waits_for_logs(const LogSurvey& logs) {
+bool Pause::wait_for_missing_logs(const LogSurvey& logs) {
   const auto wait_for = [this](const std::string& what) {
     log("waits: " + what);
     retry_after(kFailoverRetryMs);
     return true;
   };
   if (logs.reachable.empty()) return wait_for("no replica answers");
-  if (!view_.logs_count) return false;
-  if (!logs.awaited.empty()) {
-    const auto reply = operation_.replies.find(logs.awaited.front());
-    return wait_for(reply == operation_.replies.end() ? logs.awaited.front().value + ":not asked"
+  if (!view_.has_sync_replicas) return false;
+  if (!logs.unreachable.empty()) {
+    const auto reply = operation_.replies.find(logs.unreachable.front());
+    return wait_for(reply == operation_.replies.end() ? logs.unreachable.front().value + ":not asked"
                                                       : describe(reply->first, reply->second));
   }
-  if (logs.taken_along.empty() || logs.has_primary_log || !operation_.committed.none()) return false;
-  const std::string id = logs.taken_along.front().value;
-  if (around_.now >= operation_.suspended_at + longest_wait_for_log()) {
+  if (logs.uncovered.empty() || logs.has_primary_log || !operation_.primary_committed.none()) return false;
+  const std::string id = logs.uncovered.front().value;
+  if (environment_.now >= operation_.suspended_at + max_log_wait()) {
     log("gives up waiting: acknowledged commits may be lost, id=" + id);
     return false;
   }
-  operation_.primary_needed = true;
+  operation_.primary_log_needed = true;
   return wait_for("the log of one that has left is needed, or that of the former primary, id=" + id);
 }
 
 // A primary that has crashed comes back with its log; one that has left in order does not.
-Millis Pause::longest_wait_for_log() const {
+Millis Pause::max_log_wait() const {
   const DepartedInstance* departed = view_.find_departed(view_.assignment.primary);
-  const bool left_in_order = departed && departed->heir.empty() &&
-                             has_departed_process_ended(*departed, operation_.signs.of(departed->instance.id),
-                                                        around_.now, around_.drain_ms);
-  return left_in_order ? kSucceedingLogMs : kTakenAlongLogMs;
+  const bool left_in_order =
+      departed && departed->heir.empty() &&
+      has_departed_process_ended(*departed, operation_.liveness.of(departed->instance.id), environment_.now,
+                                 environment_.drain_ms);
+  return left_in_order ? kReplacementLogWaitMs : kUncoveredLogWaitMs;
 }
 
 // Nodes pass no commit on as kept meanwhile, so to let the others receive lets nothing be acknowledged.
-void Pause::let_receive(const std::vector<LogHolder>& replicas) {
+void Pause::resume_replicas(const std::vector<LogHolder>& replicas) {
   enter(Step::kWaitingForNodes);
-  operation_.retry_at = around_.now + 4 * kPlatformTimeoutMs;
+  operation_.retry_at = environment_.now + 4 * kPlatformTimeoutMs;
   query_all(replicas, "CONTINUE");
 }
 
@@ -115,9 +118,9 @@
   for (auto& holder : log_holders(view_, operation_))
     if (holder.instance.id == id) leading.push_back(holder);
   if (leading.empty()) return retry_after(kFailoverRetryMs);
-  operation_.lacking = 0;
+  operation_.replicas_behind_attempts = 0;
   enter(Step::kWaitingForNodes);
-  operation_.retry_at = around_.now + 4 * kPlatformTimeoutMs;
+  operation_.retry_at = environment_.now + 4 * kPlatformTimeoutMs;
   query_all(leading, "STEPDOWN " + std::to_string(operation_.term + 1));
 }
 
@@ -126,7 +129,7 @@
 const LogHolder& Pause::choose_successor(const LogSurvey& logs) const {
   const auto rank = [&](const LogHolder& holder) {
     const auto& info = operation_.replies.at(holder.instance.id).info;
-    return std::tuple(info.received != *logs.furthest, holder.kind == LogHolder::Kind::kUnregistered,
+    return std::tuple(info.received != *logs.newest_position, holder.kind == LogHolder::Kind::kUnregistered,
                       holder.instance.draining, info.lag_ms);
   };
   return *std::min_element(logs.reachable.begin(), logs.reachable.end(),
--- a/src/failover/pause.h
+++ b/src/failover/pause.h
@@ -15,10 +15,10 @@
   void step_down(const InstanceId& id);
 
  private:
-  bool repeats_pause();
-  bool waits_for_logs(const LogSurvey& logs);
-  Millis longest_wait_for_log() const;
-  void let_receive(const std::vector<LogHolder>& replicas);
+  bool retry_failed_pauses();
+  bool wait_for_missing_logs(const LogSurvey& logs);
+  Millis max_log_wait() const;
+  void resume_replicas(const std::vector<LogHolder>& replicas);
   const LogHolder& choose_successor(const LogSurvey& logs) const;
 
   Promotion& promotion_;
--- a/src/failover/promotion.cc
+++ b/src/failover/promotion.cc
@@ -12,12 +12,12 @@
 
 void Promotion::record(const InstanceId& successor) {
   FailoverRecord record = view_.record;
-  record.token = around_.token;
-  record.calls = open_calls();
+  record.token = environment_.token;
+  record.calls = pending_calls();
   operation_.successor = successor;
-  operation_.repeat_promote = false;
-  operation_.call = view_.state_sequence + 1;
-  record.calls.push_back({operation_.call, successor, around_.token, operation_.term});
+  operation_.retry_promote = false;
+  operation_.call_number = view_.state_sequence + 1;
+  record.calls.push_back({operation_.call_number, successor, environment_.token, operation_.term});
   submit(view_.assignment, record, Step::kRecording);
 }
 
@@ -25,25 +25,27 @@
   if (!committed) return retry_after(kFailoverRetryMs);
   const auto& calls = view_.record.calls;
   const bool recorded = std::any_of(calls.begin(), calls.end(), [&](auto& call) {
-    return call.number == operation_.call && call.successor == operation_.successor &&
-           call.token == around_.token;
+    return call.number == operation_.call_number && call.successor == operation_.successor &&
+           call.token == environment_.token;
   });
-  if (!recorded || !view_.assignment.suspended || !around_.is_leader) return retry_after(kFailoverRetryMs);
+  if (!recorded || !view_.assignment.suspended || !environment_.is_leader)
+    return retry_after(kFailoverRetryMs);
   enter(Step::kPromoting);
-  operation_.successor_heard = false;
-  log("promotes: successor=" + operation_.successor.value + " token=" + std::to_string(around_.token) +
-      " call=" + std::to_string(operation_.call) + " replies=" + describe(operation_.replies));
-  request(CallPlatform{operation_.call, operation_.successor});
+  operation_.successor_reported = false;
+  log("promotes: successor=" + operation_.successor.value + " token=" + std::to_string(environment_.token) +
+      " call=" + std::to_string(operation_.call_number) + " replies=" + describe(operation_.replies));
+  request(CallPlatform{operation_.call_number, operation_.successor});
 }
 
 void Promotion::on_answered(const PromoteAnswered& answered) {
-  log("promote answered: call=" + std::to_string(answered.call) + " outcome=" + describe(answered.outcome));
+  log("promote answered: call=" + std::to_string(answered.call_number) +
+      " outcome=" + describe(answered.outcome));
   const bool took_no_effect = answered.outcome == PromoteOutcome::kRefused ||
                               answered.outcome == PromoteOutcome::kThrottled ||
                               answered.outcome == PromoteOutcome::kNotSent;
-  if (took_no_effect) operation_.refused_calls.insert(answered.call);
-  if (answered.outcome == PromoteOutcome::kAccepted) operation_.accepted_calls.insert(answered.call);
-  const bool is_awaited = operation_.call == answered.call &&
+  if (took_no_effect) operation_.refused_calls.insert(answered.call_number);
+  if (answered.outcome == PromoteOutcome::kAccepted) operation_.accepted_calls.insert(answered.call_number);
+  const bool is_awaited = operation_.call_number == answered.call_number &&
                           (operation_.step == Step::kPromoting || operation_.step == Step::kAwaitingPrimary);
   if (!is_awaited) return;
   if (answered.outcome == PromoteOutcome::kAccepted) {
@@ -53,12 +55,12 @@
   const bool soon =
       answered.outcome == PromoteOutcome::kThrottled || answered.outcome == PromoteOutcome::kUnknown;
   retry_after(soon ? kPromoteRetryMs : kFailoverRetryMs);
-  operation_.repeat_promote = answered.outcome == PromoteOutcome::kThrottled;
+  operation_.retry_promote = answered.outcome == PromoteOutcome::kThrottled;
 }
 
-void Promotion::on_primary_heard(const InstanceId& id) {
+void Promotion::on_primary_reported(const InstanceId& id) {
   if (operation_.step != Step::kAwaitingPrimary || operation_.successor != id) return;
-  operation_.successor_heard = true;
+  operation_.successor_reported = true;
   confirm_successor();
 }
 
@@ -71,12 +73,12 @@
 
 void Promotion::on_confirmed() {
   const DatabaseReply& reply = operation_.replies[operation_.successor];
-  const auto calls = open_calls();
+  const auto calls = pending_calls();
   const bool of_successor_only = std::all_of(
       calls.begin(), calls.end(), [&](auto& call) { return call.successor == operation_.successor; });
   if (reply.is_row() && reply.info.primary && of_successor_only)
     return announce(operation_.successor, reply.info.term);
-  operation_.signs.on_reply(around_.now, operation_.successor, reply);
+  operation_.liveness.on_reply(environment_.now, operation_.successor, reply);
   retry_after(kFailoverRetryMs);
 }
 
@@ -100,7 +102,7 @@
   const bool successor_leads = view_.assignment.primary == operation_.successor;
   const auto covered = std::exchange(operation_.covered_by_successor, {});
   reset();
-  operation_.retry_at = around_.now + kFailoverRetryMs;
+  operation_.retry_at = environment_.now + kFailoverRetryMs;
   for (auto& id : covered)
     if (successor_leads) request(Submit{forget_departed(id), operation_.round});
   request(Finished{});
--- a/src/failover/promotion.h
+++ b/src/failover/promotion.h
@@ -14,7 +14,7 @@
   void on_recorded(bool committed);
   void on_answered(const PromoteAnswered& answered);
   // The database told by itself that it leads.
-  void on_primary_heard(const InstanceId& id);
+  void on_primary_reported(const InstanceId& id);
   void confirm_successor();
   void on_confirmed();
 
--- a/src/failover/release.cc
+++ b/src/failover/release.cc
@@ -20,8 +20,8 @@
   }
   release.awaited = remaining.size();
   release.retry_at = now + kFailoverRetryMs * Millis(std::min<std::size_t>(++release.attempts, 5));
-  const std::uint64_t serial = release.serial = ++last_serial_;
-  for (auto& database : remaining) release_instance(view.service, database, view.assignment.term, serial);
+  const std::uint64_t round = release.round = ++last_round_;
+  for (auto& database : remaining) release_instance(view.service, database, view.assignment.term, round);
 }
 
 // A PAUSE that went unanswered may arrive after the first CONTINUE.
@@ -30,20 +30,20 @@
   release.attempts = 0;
   release.done.clear();
   release.refusals.clear();
-  release.retry_at = now + kLateStatementMs;
+  release.retry_at = now + kMaxStatementDelayMs;
 }
 
 void Releases::release_instance(const std::string& service, const Instance& instance, std::uint64_t term,
-                                std::uint64_t serial) {
-  const auto done = [this, service, serial, id = instance.id](const DatabaseReply& reply) {
-    on_released(service, id, serial, reply);
+                                std::uint64_t round) {
+  const auto done = [this, service, round, id = instance.id](const DatabaseReply& reply) {
+    on_released(service, id, round, reply);
   };
   if (!instance.primary) return query_(instance, "CONTINUE", done);
   // What it last said of itself may be old: it may lead still, or be paused by now.
   query_(instance, "STEPDOWN " + std::to_string(term),
-         [this, instance, service, serial, done](const DatabaseReply& reply) {
+         [this, instance, service, round, done](const DatabaseReply& reply) {
            auto it = releases_.find(service);
-           if (it == releases_.end() || it->second.serial != serial) return;  // another failover
+           if (it == releases_.end() || it->second.round != round) return;  // another failover
            if (reply.kind == DatabaseReply::Kind::kRow)
              query_(instance, "CONTINUE", done);
            else
@@ -51,16 +51,16 @@
          });
 }
 
-void Releases::on_released(const std::string& service, const InstanceId& id, std::uint64_t serial,
+void Releases::on_released(const std::string& service, const InstanceId& id, std::uint64_t round,
                            const DatabaseReply& reply) {
   auto it = releases_.find(service);
-  if (it == releases_.end() || it->second.serial != serial) return;
+  if (it == releases_.end() || it->second.round != round) return;
   Release& release = it->second;
   --release.awaited;
   // A process that is gone holds nothing; one that comes back has started anew.
   int& refusals = release.refusals[id];
   refusals = reply.kind == DatabaseReply::Kind::kRefused ? refusals + 1 : 0;
-  const bool gone = refusals >= kRefusalsUntilGone || reply.kind == DatabaseReply::Kind::kWrongNode;
+  const bool gone = refusals >= kRefusalsUntilEnded || reply.kind == DatabaseReply::Kind::kWrongNode;
   if (reply.kind == DatabaseReply::Kind::kRow || gone) release.done.insert(id);
 }
 
--- a/src/failover/release.h
+++ b/src/failover/release.h
@@ -23,7 +23,7 @@
  private:
   struct Release {
     std::size_t awaited = 0, attempts = 0;
-    std::uint64_t serial = 0;
+    std::uint64_t round = 0;
     Instant retry_at = 0;
     bool second_pass = false;
     std::set<InstanceId> done;
@@ -31,14 +31,14 @@
   };
   void begin_second_pass(Release& release, Instant now);
   void release_instance(const std::string& service, const Instance& instance, std::uint64_t term,
-                        std::uint64_t serial);
-  void on_released(const std::string& service, const InstanceId& id, std::uint64_t serial,
+                        std::uint64_t round);
+  void on_released(const std::string& service, const InstanceId& id, std::uint64_t round,
                    const DatabaseReply& reply);
 
   QueryDatabase query_;
   Finish finish_;
   std::map<std::string, Release> releases_;  // by service
-  std::uint64_t last_serial_ = 0;
+  std::uint64_t last_round_ = 0;
 };
 
 }  // namespace pebblespindle::failover
--- a/src/failover/service_view.cc
+++ b/src/failover/service_view.cc
@@ -32,7 +32,7 @@
     if (departed.instance.service == service) view.departed.push_back(departed);
   const auto& services = cluster.configuration().services;
   auto spec = services.find(service);
-  view.logs_count = spec == services.end() || spec->second.sync_replicas > 0;
+  view.has_sync_replicas = spec == services.end() || spec->second.sync_replicas > 0;
   return view;
 }
 
--- a/src/failover/service_view.h
+++ b/src/failover/service_view.h
@@ -17,7 +17,7 @@
   FailoverRecord record;                       // id empty: none
   std::vector<Instance> registered;            // the service's databases
   std::vector<DepartedInstance> departed;      // those that have left and are remembered
-  bool logs_count = true;  // a commit may be acknowledged on the word of one replica (SyncReplicas)
+  bool has_sync_replicas = true;  // a commit may be acknowledged on the word of one replica (SyncReplicas)
 
   const Instance* find_registered(const InstanceId& id) const;        // null when it is not registered
   const DepartedInstance* find_departed(const InstanceId& id) const;  // null when it is not remembered
@@ -27,7 +27,7 @@
 ServiceView read_service_view(const StateTable& state, const ClusterState& cluster,
                               const std::string& service);
 
-struct Surroundings {
+struct Environment {
   Instant now = 0;
   bool is_leader = false;           // this controller holds the failover duty
   std::uint64_t token = 0;          // its fencing token
--- a/src/failover/step_machine.cc
+++ b/src/failover/step_machine.cc
@@ -6,38 +6,38 @@
 
 namespace pebblespindle::failover {
 
-StepMachine::StepMachine(const ServiceView& view, const Surroundings& around, Operation& operation)
-    : StepPhase({view, around, operation, requested_}),
-      promotion_({view, around, operation, requested_}),
-      pause_({view, around, operation, requested_}, promotion_),
-      survey_({view, around, operation, requested_}, pause_, promotion_) {
-  for (auto& call : view.record.calls) operation.call_seen_at.emplace(call.number, around.now);
+StepMachine::StepMachine(const ServiceView& view, const Environment& environment, Operation& operation)
+    : StepPhase({view, environment, operation, requested_actions_}),
+      promotion_({view, environment, operation, requested_actions_}),
+      pause_({view, environment, operation, requested_actions_}, promotion_),
+      survey_({view, environment, operation, requested_actions_}, pause_, promotion_) {
+  for (auto& call : view.record.calls) operation.call_seen_at.emplace(call.number, environment.now);
 }
 
 std::vector<Action> StepMachine::handle(const Event& event) {
   std::visit([this](auto& typed) { on(typed); }, event);
-  return std::move(requested_);
+  return std::move(requested_actions_);
 }
 
 void StepMachine::on(const Tick&) {
   switch (operation_.step) {
     case Step::kIdle:
-      if (view_.assignment.suspended && around_.now >= operation_.retry_at) take_over();
+      if (view_.assignment.suspended && environment_.now >= operation_.retry_at) take_over();
       return;
     case Step::kWaitingForNodes: {
-      if (around_.now < operation_.retry_at) return;
+      if (environment_.now < operation_.retry_at) return;
       // Whoever gives leases had stored the suspension when it was committed: older leases have ended by
       // then.
       const bool leases_ended =
-          around_.now >= operation_.suspended_at + kNodeLeaseMs + 2 * kClockDriftMarginMs;
-      if (!leases_ended && !around_.nodes_acknowledged) return;
-      return operation_.repeat_promote ? promotion_.record(operation_.successor) : survey_.begin();
+          environment_.now >= operation_.suspended_at + kNodeLeaseMs + 2 * kClockDriftMarginMs;
+      if (!leases_ended && !environment_.nodes_acknowledged) return;
+      return operation_.retry_promote ? promotion_.record(operation_.successor) : survey_.begin();
     }
     case Step::kPromoting:
-      if (around_.now >= operation_.since + kPlatformTimeoutMs) enter(Step::kAwaitingPrimary);
+      if (environment_.now >= operation_.entered_at + kPlatformTimeoutMs) enter(Step::kAwaitingPrimary);
       return;
     case Step::kAwaitingPrimary:
-      if (operation_.successor_heard || around_.now >= operation_.since + kPromoteCheckMs)
+      if (operation_.successor_reported || environment_.now >= operation_.entered_at + kPromoteCheckMs)
         promotion_.confirm_successor();
       return;
     case Step::kSuspending:
@@ -47,7 +47,7 @@
     case Step::kRecording:
     case Step::kAnnouncing:
       // An answer went missing.
-      if (around_.now > operation_.since + 4 * kPlatformTimeoutMs) retry_after(kFailoverRetryMs);
+      if (environment_.now > operation_.entered_at + 4 * kPlatformTimeoutMs) retry_after(kFailoverRetryMs);
       return;
   }
 }
@@ -86,12 +86,12 @@
   promotion_.on_answered(answered);
 }
 
-void StepMachine::on(const PrimaryHeard& heard) {
-  promotion_.on_primary_heard(heard.id);
+void StepMachine::on(const PrimaryReported& reported) {
+  promotion_.on_primary_reported(reported.id);
 }
 
 void StepMachine::on(const Begin& begin) {
-  const FailoverRecord record{new_record_id(), begin.reason, around_.token, open_calls(), false};
+  const FailoverRecord record{new_record_id(), begin.reason, environment_.token, pending_calls(), false};
   PrimaryAssignment next = view_.assignment;
   next.suspended = true;
   next.releasing = false;
@@ -104,10 +104,10 @@
 
 void StepMachine::on_suspended(bool committed) {
   if (!committed || !view_.assignment.suspended) {
-    operation_.retry_at = around_.now + kFailoverRetryMs;
+    operation_.retry_at = environment_.now + kFailoverRetryMs;
     return enter(Step::kIdle);
   }
-  operation_.suspended_at = around_.now;
+  operation_.suspended_at = environment_.now;
   enter(Step::kWaitingForNodes);
   on(Tick{});
 }
@@ -116,13 +116,13 @@
 // Once this controller's token is written, all that the record rests on is committed.
 void StepMachine::take_over() {
   std::string calls;
-  for (auto& call : open_calls())
+  for (auto& call : pending_calls())
     calls += (calls.empty() ? "" : ",") + call.successor.value + "/token" + std::to_string(call.token);
-  log("continues: token=" + std::to_string(around_.token) + " primary=" + view_.assignment.primary.value +
-      " reason=" + view_.record.reason + " open_promotes=" + calls);
+  log("continues: token=" + std::to_string(environment_.token) + " primary=" +
+      view_.assignment.primary.value + " reason=" + view_.record.reason + " open_promotes=" + calls);
   FailoverRecord record = view_.record;
   if (record.id.empty()) record = {new_record_id(), "begun by a build without records", 0, {}, true};
-  record.token = around_.token;
+  record.token = environment_.token;
   submit(view_.assignment, record, Step::kSuspending);
 }
 
--- a/src/failover/step_machine.h
+++ b/src/failover/step_machine.h
@@ -21,7 +21,7 @@
 class StepMachine : private StepPhase {
  public:
   // view and around are as of this event; operation is what this controller remembers.
-  StepMachine(const ServiceView& view, const Surroundings& around, Operation& operation);
+  StepMachine(const ServiceView& view, const Environment& environment, Operation& operation);
   StepMachine(const StepMachine&) = delete;
   StepMachine& operator=(const StepMachine&) = delete;
   ~StepMachine() = default;
@@ -34,12 +34,12 @@
   void on(const Reply& reply);
   void on(const Submitted& submitted);
   void on(const PromoteAnswered& answered);
-  void on(const PrimaryHeard& heard);
+  void on(const PrimaryReported& reported);
 
   void take_over();
   void on_suspended(bool committed);
 
-  std::vector<Action> requested_;
+  std::vector<Action> requested_actions_;
   Promotion promotion_;
   Pause pause_;
   Survey survey_;
--- a/src/failover/step_phase.cc
+++ b/src/failover/step_phase.cc
@@ -9,7 +9,7 @@
 
 StepPhase::StepPhase(const StepContext& context)
     : view_(context.view),
-      around_(context.around),
+      environment_(context.environment),
       operation_(context.operation),
       actions_(context.actions) {}
 
@@ -19,14 +19,14 @@
 
 void StepPhase::enter(Step step) {
   operation_.step = step;
-  operation_.since = around_.now;
+  operation_.entered_at = environment_.now;
   operation_.awaited.clear();
   ++operation_.round;
 }
 
 void StepPhase::retry_after(Millis pause) {
   enter(Step::kWaitingForNodes);
-  operation_.retry_at = around_.now + pause;
+  operation_.retry_at = environment_.now + pause;
 }
 
 void StepPhase::query_all(const std::vector<LogHolder>& holders, const std::string& statement) {
@@ -50,7 +50,7 @@
     next.call_seen_at[call.number] = operation_.call_seen_at[call.number];
     if (operation_.accepted_calls.count(call.number) > 0) next.accepted_calls.insert(call.number);
     if (operation_.refused_calls.count(call.number) > 0) next.refused_calls.insert(call.number);
-    next.signs.copy(operation_.signs, call.successor);
+    next.liveness.copy(operation_.liveness, call.successor);
   }
   operation_ = std::move(next);
 }
@@ -65,17 +65,17 @@
   return departed && departed->heir.empty() ? std::optional(departed->instance) : std::nullopt;
 }
 
-std::vector<PromoteCall> StepPhase::open_calls() const {
-  return failover::open_calls(view_, around_, operation_);
+std::vector<PromoteCall> StepPhase::pending_calls() const {
+  return failover::pending_calls(view_, environment_, operation_);
 }
 
 // A build that kept no record has begun this failover, and may have called the platform.
-bool StepPhase::calls_unknown() const {
+bool StepPhase::has_unknown_calls() const {
   return view_.record.id.empty() || view_.record.earlier_calls_unknown;
 }
 
 std::string StepPhase::new_record_id() const {
-  return std::to_string(around_.token) + "." + std::to_string(view_.state_sequence);
+  return std::to_string(environment_.token) + "." + std::to_string(view_.state_sequence);
 }
 
 // Whether another may have led a higher term for a while: replicas that have heard of it take nothing more
@@ -84,23 +84,24 @@
   const auto may_have_led = [this](const PromoteCall& call) {
     return call.successor != view_.assignment.primary && operation_.refused_calls.count(call.number) == 0;
   };
-  return calls_unknown() || std::any_of(view_.record.calls.begin(), view_.record.calls.end(), may_have_led);
+  return has_unknown_calls() ||
+         std::any_of(view_.record.calls.begin(), view_.record.calls.end(), may_have_led);
 }
 
 // Calls without an answer stay on record: they have no effect while their successor leads, but may later on.
 FailoverRecord StepPhase::record_of_unanswered_calls() const {
   FailoverRecord record = view_.record;
-  record.calls = open_calls();
+  record.calls = pending_calls();
   std::erase_if(record.calls, [&](auto& call) { return operation_.accepted_calls.count(call.number) > 0; });
   return record.calls.empty() ? FailoverRecord{} : record;
 }
 
-bool StepPhase::note_replies() {
+bool StepPhase::record_replies() {
   const std::size_t before = log_holders(view_, operation_).size();
   for (auto& [id, reply] : operation_.replies) {
-    operation_.signs.on_reply(around_.now, id, reply);
+    operation_.liveness.on_reply(environment_.now, id, reply);
     if (!reply.is_row() || reply.info.primary) continue;
-    Position& received = operation_.received[id];
+    Position& received = operation_.received_positions[id];
     received = std::max(received, reply.info.received);
   }
   return log_holders(view_, operation_).size() > before;
--- a/src/failover/step_phase.h
+++ b/src/failover/step_phase.h
@@ -11,7 +11,7 @@
 // Everything is as of one event; actions collects what is to be done, in this order.
 struct StepContext {
   const ServiceView& view;
-  const Surroundings& around;
+  const Environment& environment;
   Operation& operation;
   std::vector<Action>& actions;
 };
@@ -30,17 +30,17 @@
   void log(const std::string& text);
   // Registered, or departed and not continued by another.
   std::optional<Instance> find_instance(const InstanceId& id) const;
-  std::vector<PromoteCall> open_calls() const;
-  bool calls_unknown() const;
+  std::vector<PromoteCall> pending_calls() const;
+  bool has_unknown_calls() const;
   bool may_be_superseded() const;
   std::string new_record_id() const;
   FailoverRecord record_of_unanswered_calls() const;
   // True when somebody was met that was not asked: a database under a new ID.
-  bool note_replies();
+  bool record_replies();
   std::uint64_t newest_term() const;
 
   const ServiceView& view_;
-  const Surroundings& around_;
+  const Environment& environment_;
   Operation& operation_;
 
  private:
--- a/src/failover/survey.cc
+++ b/src/failover/survey.cc
@@ -10,18 +10,19 @@
 // Learns the newest term, and whether somebody leads already.
 void Survey::begin() {
   enter(Step::kSurveying);
-  operation_.committed = {};  // what a primary told that has died since leaves out what others have received
+  operation_.primary_committed =
+      {};  // what a primary told that has died since leaves out what others have received
   const InstanceId& primary = view_.assignment.primary;
   // A primary that is said to be alive is waited for: what it has committed must not be left behind. One that
   // may be dead is asked as well, but not waited for: what it has acknowledged is on the replicas, unless one
   // of them has taken it along.
-  const bool wait_for_primary = view_.assignment.planned && open_calls().empty() && !calls_unknown() &&
-                                operation_.position_unknown < kMaxUnknownPositionAttempts;
+  const bool wait_for_primary = view_.assignment.planned && pending_calls().empty() && !has_unknown_calls() &&
+                                operation_.unknown_position_attempts < kMaxUnknownPositionAttempts;
   std::vector<LogHolder> waited_for;
   std::optional<Instance> not_waited_for;
   for (auto& holder : log_holders(view_, operation_)) {
     const bool is_primary = holder.instance.id == primary;
-    if (is_primary && !wait_for_primary && !operation_.primary_needed)
+    if (is_primary && !wait_for_primary && !operation_.primary_log_needed)
       not_waited_for = holder.instance;
     else if (is_primary || !wait_for_primary || holder.kind == LogHolder::Kind::kRegistered)
       waited_for.push_back(holder);
@@ -34,47 +35,49 @@
 // Whether a database, leading that term, was promoted since the assignment was written.
 bool Survey::was_promoted(const InstanceId& id, std::uint64_t term) const {
   if (view_.assignment.term > 0) return term > view_.assignment.term;
-  const bool continues_primary = id == view_.assignment.primary || is_heir_of_primary(view_, operation_, id);
+  const bool continues_primary =
+      id == view_.assignment.primary || continues_primary_log(view_, operation_, id);
   return !continues_primary ||
          std::any_of(view_.record.calls.begin(), view_.record.calls.end(),
                      [&](auto& call) { return call.successor == id && term > call.term; });
 }
 
 // Whoever still leads a term that has been followed by another has missed the promote, not won it.
-std::optional<Survey::Lead> Survey::find_lead() const {
-  Lead lead;
+std::optional<Survey::Leader> Survey::find_leader() const {
+  Leader leader;
   std::uint64_t newest = view_.assignment.term;
   for (auto& [id, reply] : operation_.replies) {
     if (!reply.is_row()) continue;
     newest = std::max({newest, reply.info.term, reply.info.received.term});
-    if (reply.info.primary && reply.info.term > lead.term) {
-      lead.id = id;
-      lead.term = reply.info.term;
+    if (reply.info.primary && reply.info.term > leader.term) {
+      leader.id = id;
+      leader.term = reply.info.term;
     }
   }
-  if (lead.id.empty() || lead.term < newest) return std::nullopt;
-  lead.is_former_primary = !was_promoted(lead.id, lead.term);
-  return lead;
+  if (leader.id.empty() || leader.term < newest) return std::nullopt;
+  leader.is_former_primary = !was_promoted(leader.id, leader.term);
+  return leader;
 }
 
 void Survey::on_replies() {
   if (!view_.assignment.suspended) return enter(Step::kIdle);
   log("surveyed: replies=" + describe(operation_.replies));
-  if (note_replies()) return retry_after(0);
-  const auto lead = find_lead();
-  const auto calls = open_calls();
-  const bool leads_on = lead && lead->is_former_primary;
-  const bool primary_alive = leads_on && lead->id == view_.assignment.primary;
-  const bool of_lead_only =
-      std::all_of(calls.begin(), calls.end(), [&](auto& call) { return lead && call.successor == lead->id; });
-  if (lead && of_lead_only && !leads_on) return follow_lead(*lead);
-  if (!calls.empty()) return primary_alive && of_lead_only ? promotion_.abandon() : repeat_call(calls.back());
+  if (record_replies()) return retry_after(0);
+  const auto leader = find_leader();
+  const auto calls = pending_calls();
+  const bool former_primary_leads = leader && leader->is_former_primary;
+  const bool primary_alive = former_primary_leads && leader->id == view_.assignment.primary;
+  const bool only_calls_of_leader = std::all_of(
+      calls.begin(), calls.end(), [&](auto& call) { return leader && call.successor == leader->id; });
+  if (leader && only_calls_of_leader && !former_primary_leads) return accept_leader(*leader);
+  if (!calls.empty())
+    return primary_alive && only_calls_of_leader ? promotion_.abandon() : retry_call(calls.back());
   operation_.term = newest_term();
   if (operation_.term == 0) return retry_after(kFailoverRetryMs);  // nobody told a term
-  if (leads_on && may_be_superseded()) return pause_.step_down(lead->id);
-  if (leads_on && !primary_alive) return follow_lead(*lead);
-  if (!primary_alive && view_.assignment.planned && !calls_unknown() &&
-      ++operation_.position_unknown < kMaxUnknownPositionAttempts)
+  if (former_primary_leads && may_be_superseded()) return pause_.step_down(leader->id);
+  if (former_primary_leads && !primary_alive) return accept_leader(*leader);
+  if (!primary_alive && view_.assignment.planned && !has_unknown_calls() &&
+      ++operation_.unknown_position_attempts < kMaxUnknownPositionAttempts)
     return retry_after(kFailoverRetryMs);
   // One that has announced its end is replaced, whatever the failover was begun for.
   const bool has_left = !view_.find_registered(view_.assignment.primary);
@@ -82,18 +85,18 @@
   const auto former = operation_.replies.find(view_.assignment.primary);
   const bool answers = former != operation_.replies.end() && former->second.is_row();
   operation_.primary_follows = answers && !primary_alive;
-  if (primary_alive) operation_.committed = former->second.info.received;
+  if (primary_alive) operation_.primary_committed = former->second.info.received;
   pause_.begin();
 }
 
-void Survey::follow_lead(const Lead& lead) {
-  if (find_instance(lead.id)) return promotion_.announce(lead.id, lead.term);
-  log("waits: the leading database has not registered itself, id=" + lead.id.value);
+void Survey::accept_leader(const Leader& leader) {
+  if (find_instance(leader.id)) return promotion_.announce(leader.id, leader.term);
+  log("waits: the leading database has not registered itself, id=" + leader.id.value);
   retry_after(kFailoverRetryMs);
 }
 
 // What an earlier call has begun is brought to its end: nobody but its successor is promoted.
-void Survey::repeat_call(const PromoteCall& call) {
+void Survey::retry_call(const PromoteCall& call) {
   const auto reply = operation_.replies.find(call.successor);
   if (reply != operation_.replies.end() && reply->second.is_row()) {
     operation_.term = newest_term();
--- a/src/failover/survey.h
+++ b/src/failover/survey.h
@@ -16,16 +16,16 @@
 
  private:
   // The database that leads the newest term of those that answered.
-  struct Lead {
+  struct Leader {
     InstanceId id;
     std::uint64_t term = 0;
     bool is_former_primary = false;  // it, or its heir, leads on and was not promoted since
   };
 
-  std::optional<Lead> find_lead() const;
+  std::optional<Leader> find_leader() const;
   bool was_promoted(const InstanceId& id, std::uint64_t term) const;
-  void follow_lead(const Lead& lead);
-  void repeat_call(const PromoteCall& call);
+  void accept_leader(const Leader& lead);
+  void retry_call(const PromoteCall& call);
 
   Pause& pause_;
   Promotion& promotion_;
--- a/src/failover/suspicions.cc
+++ b/src/failover/suspicions.cc
@@ -6,10 +6,10 @@
 
 namespace pebblespindle::failover {
 
-void Suspicions::report_missing(Instant now, const InstanceId& id, const std::string& zone,
-                                const std::string& node, bool refused, bool once) {
+void Suspicions::report_missed_reply(Instant now, const InstanceId& id, const std::string& zone,
+                                     const std::string& node, bool refused, bool single_miss) {
   Reports& reports = reports_[id];
-  reports.missing[node] = {zone, now, once};
+  reports.missed_replies[node] = {zone, now, single_miss};
   if (refused) reports.refused_at = now;
 }
 
@@ -18,35 +18,36 @@
   reports_[id].slow[node] = {zone, now};
 }
 
-void Suspicions::clear_missing(const InstanceId& id, const std::string& node) {
+void Suspicions::clear_missed_reply(const InstanceId& id, const std::string& node) {
   auto reports = reports_.find(id);
-  if (reports != reports_.end()) reports->second.missing.erase(node);
+  if (reports != reports_.end()) reports->second.missed_replies.erase(node);
 }
 
 bool Suspicions::should_query(Instant now, const InstanceId& id) {
   auto it = reports_.find(id);
   if (it == reports_.end()) return false;
   const Reports& reports = it->second;
-  const std::size_t zones = zones_missing(now, id);
+  const std::size_t zones = zones_missing_replies(now, id);
   if (zones == 0 || reports.query_under_way || now < reports.quiet_until) return false;
-  const bool refused = reports.refused_at && *reports.refused_at > now - kSuspectWindowMs;
+  const bool refused = reports.refused_at && *reports.refused_at > now - kSuspicionWindowMs;
   return refused || zones >= 2;
 }
 
 void Suspicions::on_query_answered(Instant now, const InstanceId& id) {
   Reports& reports = reports_[id];
   reports = {};
-  reports.quiet_until = now + kSuspectQuietMs;
+  reports.quiet_until = now + kSuspicionPauseMs;
 }
 
-std::size_t Suspicions::zones_missing(Instant now, const InstanceId& id) {
+std::size_t Suspicions::zones_missing_replies(Instant now, const InstanceId& id) {
   Reports& reports = reports_[id];
-  std::erase_if(reports.missing, [&](auto& entry) { return entry.second.at < now - kSuspectWindowMs; });
+  std::erase_if(reports.missed_replies,
+                [&](auto& entry) { return entry.second.at < now - kSuspicionWindowMs; });
   // One missed answer of one node says little; of several nodes, as much as several of one.
-  const bool many = reports.missing.size() >= kMinNodesMissingOnce;
+  const bool many = reports.missed_replies.size() >= kMinNodesWithSingleMiss;
   std::set<std::string> zones;
-  for (auto& [node, missing] : reports.missing)
-    if (many || !missing.once) zones.insert(missing.zone);
+  for (auto& [node, missed] : reports.missed_replies)
+    if (many || !missed.single_miss) zones.insert(missed.zone);
   return zones.size();
 }
 
--- a/src/failover/suspicions.h
+++ b/src/failover/suspicions.h
@@ -16,11 +16,11 @@
  public:
   // A node missed an answer. refused: its connection was. once: it queries the database rarely, and has
   // missed one answer.
-  void report_missing(Instant now, const InstanceId& id, const std::string& zone, const std::string& node,
-                      bool refused, bool once = false);
+  void report_missed_reply(Instant now, const InstanceId& id, const std::string& zone,
+                           const std::string& node, bool refused, bool single_miss = false);
   void report_slow(Instant now, const InstanceId& id, const std::string& zone, const std::string& node);
   // The node has an answer of it after all.
-  void clear_missing(const InstanceId& id, const std::string& node);
+  void clear_missed_reply(const InstanceId& id, const std::string& node);
   void clear(const InstanceId& id) { reports_.erase(id); }
   void clear_all() { reports_.clear(); }
 
@@ -31,23 +31,23 @@
   // It answers: what was told of it counts no more.
   void on_query_answered(Instant now, const InstanceId& id);
   // Zones whose nodes miss every answer of late.
-  std::size_t zones_missing(Instant now, const InstanceId& id);
+  std::size_t zones_missing_replies(Instant now, const InstanceId& id);
   // Whether enough of all nodes have found it slow for long enough.
   bool nodes_agree_slow(Instant now, const InstanceId& id, std::size_t nodes);
 
  private:
-  struct Missing {
+  struct MissedReply {
     std::string zone;
     Instant at = 0;
-    bool once = false;
+    bool single_miss = false;
   };
   struct Slow {
     std::string zone;
     Instant at = 0;
   };
   struct Reports {
-    std::map<std::string, Missing> missing;  // by node
-    std::map<std::string, Slow> slow;        // by node
+    std::map<std::string, MissedReply> missed_replies;  // by node
+    std::map<std::string, Slow> slow;                   // by node
     std::optional<Instant> agreed_slow_since;
     std::optional<Instant> refused_at;
     Instant quiet_until = 0;
--- a/tests/failover/failover_cluster.h
+++ b/tests/failover/failover_cluster.h
@@ -126,7 +126,7 @@
       bool silent = chance(platform_trouble);
       if (platform_lag > 0) silent = true;
       later(300 + platform_lag, [this, id] { take_over(id.value); });
-      answer(silent ? kPromoteLapseMs : 5, silent ? 0 : 200);
+      answer(silent ? kPromoteExpiryMs : 5, silent ? 0 : 200);
     };
     out.submit = [this, g](Json u, std::function<void(Status)> done) {
       later(10, [this, g, u, done] {
@@ -213,7 +213,7 @@
           d.received = leader->second.received, d.term = leader->second.term;
         if (d.primary && (!d.up || d.dark) && !quiet)
           for (const char* zone : {"z0", "z1"})
-            failover->suspicions().report_missing(now, {name}, zone, std::string("n") + zone, !d.dark);
+            failover->suspicions().report_missed_reply(now, {name}, zone, std::string("n") + zone, !d.dark);
       }
       failover->tick(now);
       standby->tick(now);
--- a/tests/failover/failover_model.cc
+++ b/tests/failover/failover_model.cc
@@ -75,7 +75,7 @@
   if (amnesia_ == Amnesia::kForgetsDeparted) view.departed.clear();
   if (amnesia_ == Amnesia::kForgetsCalls) {
     const bool made_by_this = !view.record.calls.empty() &&
-                              view.record.calls.back().number == operation_.call &&
+                              view.record.calls.back().number == operation_.call_number &&
                               operation_.step == failover::Step::kRecording;
     if (!made_by_this) view.record.calls.clear();
   }
@@ -84,8 +84,8 @@
 
 void FailoverModel::handle(const failover::Event& event) {
   const auto known = view();
-  const failover::Surroundings around{now_, true, token_, nodes_blocked_, kDrainMs};
-  for (auto& action : failover::StepMachine(known, around, operation_).handle(event)) {
+  const failover::Environment environment{now_, true, token_, nodes_blocked_, kDrainMs};
+  for (auto& action : failover::StepMachine(known, environment, operation_).handle(event)) {
     if (auto* query = std::get_if<failover::Query>(&action)) queries_.push_back(*query);
     if (auto* submit = std::get_if<failover::Submit>(&action)) submissions_.push_back(*submit);
     if (auto* call = std::get_if<failover::CallPlatform>(&action)) call_ = *call;
@@ -209,8 +209,8 @@
   using failover::PromoteOutcome;
   if (how == "accepted" || how == "unanswered") take_effect(call.successor.value);
   if (how == "late") late_promotes_.push_back(call.successor.value);
-  if (how == "accepted") handle(failover::PromoteAnswered{call.call, PromoteOutcome::kAccepted});
-  if (how == "refused") handle(failover::PromoteAnswered{call.call, PromoteOutcome::kRefused});
+  if (how == "accepted") handle(failover::PromoteAnswered{call.call_number, PromoteOutcome::kAccepted});
+  if (how == "refused") handle(failover::PromoteAnswered{call.call_number, PromoteOutcome::kRefused});
 }
 
 // The other controller takes the duty over; what this one had under way is lost, or still carried out.
@@ -297,8 +297,8 @@
   if (kind == "end") databases_.at(what).up = false, databases_.at(what).ended = true;
   if (kind == "follow") databases_.at(what).primary = false;
   if (amnesia_ == Amnesia::kDropsRenamed)
-    for (auto& [id, sign] : operation_.signs.all())
-      if (!sign.replaced_by.empty() && state_.find(instance_key(id))) change(remove_instance(id));
+    for (auto& [id, liveness] : operation_.liveness.all())
+      if (!liveness.replaced_by.empty() && state_.find(instance_key(id))) change(remove_instance(id));
 }
 
 bool FailoverModel::settles() {
@@ -343,14 +343,16 @@
   for (int commit : acknowledged_) add(std::uint64_t(commit));
   const auto& operation = operation_;
   add(std::uint64_t(operation.step));
-  for (auto value : {operation.since, operation.retry_at, operation.suspended_at})
+  for (auto value : {operation.entered_at, operation.retry_at, operation.suspended_at})
     add(std::uint64_t(now_ - value));
   for (auto& [id, reply] : operation.replies) key += failover::describe(id, reply);
-  for (auto& [id, sign] : operation.signs.all())
-    key += id.value + std::to_string(sign.refusals) + sign.replaced_by.value + (sign.silent_since ? "s" : "");
-  key += operation.successor.value + operation.committed.text();
-  for (auto value : {operation.position_unknown, operation.lacking, int(operation.primary_follows),
-                     int(operation.primary_needed), int(operation.successor_heard), int(nodes_blocked_)})
+  for (auto& [id, liveness] : operation.liveness.all())
+    key += id.value + std::to_string(liveness.refusals) + liveness.replaced_by.value +
+           (liveness.silent_since ? "s" : "");
+  key += operation.successor.value + operation.primary_committed.text();
+  for (auto value : {operation.unknown_position_attempts, operation.replicas_behind_attempts,
+                     int(operation.primary_follows), int(operation.primary_log_needed),
+                     int(operation.successor_reported), int(nodes_blocked_)})
     add(std::uint64_t(value));
   for (auto number : operation.refused_calls) add(number);
   for (int budget : {left_.writes, left_.crashes, left_.leavings, left_.duty_moves, left_.lost_replies,
--- a/tests/failover/failover_test.cc
+++ b/tests/failover/failover_test.cc
@@ -54,7 +54,7 @@
 TEST(Failover, ASilentLinkOfOneZoneMovesNothing) {
   Sea sea(5);
   for (int i = 0; i < 5000; ++i) {
-    if (i % 50 == 0) sea.failover->suspicions().report_missing(sea.now, {"db0"}, "z0", "n0", false);
+    if (i % 50 == 0) sea.failover->suspicions().report_missed_reply(sea.now, {"db0"}, "z0", "n0", false);
     sea.step();
   }
   EXPECT_EQ(sea.promotes, 0);
@@ -70,8 +70,8 @@
     for (int i = 0; i < 4000; ++i) {
       if (i < 500 && i % 100 == 0)
         for (int n = 0; n < nodes; ++n)
-          sea.failover->suspicions().report_missing(sea.now, {"db0"}, "z" + std::to_string(n % zones),
-                                                    "n" + std::to_string(n), false, true);
+          sea.failover->suspicions().report_missed_reply(sea.now, {"db0"}, "z" + std::to_string(n % zones),
+                                                         "n" + std::to_string(n), false, true);
       sea.step();
     }
     return sea.promotes;
