--- a/src/sidecar/app_response_reader.cc
+++ b/src/sidecar/app_response_reader.cc
@@ -7,9 +7,9 @@
 namespace pebblespindle::sidecar {
 
 AppResponseReader::AppResponseReader()
-    : reader_(HttpReader::Kind::kResponses, kMaxAnswerHeadBytes, kMaxCallBytes) {}
+    : reader_(HttpReader::Kind::kResponses, kMaxResponseHeadBytes, kMaxCallBytes) {}
 
-bool AppResponseReader::feed(std::string_view bytes, std::vector<Answer>& out) {
+bool AppResponseReader::feed(std::string_view bytes, std::vector<Response>& out) {
   while (!bytes.empty()) {
     std::size_t took = 0;
     auto state = reader_.feed(bytes, took);
--- a/src/sidecar/app_response_reader.h
+++ b/src/sidecar/app_response_reader.h
@@ -8,13 +8,16 @@
 class AppResponseReader {
  public:
   AppResponseReader();
-  struct Answer {
+  struct Response {
     Reply reply;
-    Millis keep_ms = 0;  // how long the connection may rest; 0: not said; below 0: it ends with this answer
+    Millis keep_alive_ms =
+        0;  // how long the connection may rest; 0: not said; below 0: it ends with this answer
   };
-  void asked(bool head) { reader_.no_body(head); }  // a request leaves; whether it asks for a head only
+  void request_sent(bool head_only) {
+    reader_.no_body(head_only);
+  }  // a request leaves; whether it asks for a head only
   // False: what came is not HTTP. What was complete before it is in `out`.
-  bool feed(std::string_view bytes, std::vector<Answer>& out);
+  bool feed(std::string_view bytes, std::vector<Response>& out);
 
  private:
   HttpReader reader_;
--- a/src/sidecar/call.cc
+++ b/src/sidecar/call.cc
@@ -6,7 +6,7 @@
 
 namespace pebblespindle::sidecar {
 
-HttpFields end_to_end(const HttpFields& fields) {
+HttpFields end_to_end_fields(const HttpFields& fields) {
   std::vector<std::string> named;
   for (auto& [name, value] : fields)
     if (same_name(name, "Connection"))
@@ -34,7 +34,7 @@
   fields.emplace_back(name, std::move(value));
 }
 
-Json fields_json(const HttpFields& fields) {
+Json fields_to_json(const HttpFields& fields) {
   Json j = Json::array();
   for (auto& [name, value] : fields) {
     j.push_back(name);
@@ -43,24 +43,24 @@
   return j;
 }
 
-HttpFields fields_from(const Json& j) {
+HttpFields fields_from_json(const Json& j) {
   HttpFields out;
   if (!j.is_array()) return out;
   for (std::size_t i = 0; i + 1 < j.size(); i += 2)
     if (j[i].is_string() && j[i + 1].is_string()) {
       std::string name = j[i], value = j[i + 1];
-      if (one_word(name) && one_line(value)) out.emplace_back(std::move(name), std::move(value));
+      if (is_single_word(name) && is_single_line(value)) out.emplace_back(std::move(name), std::move(value));
     }
   return out;
 }
 
-Reply own_reply(int status, Millis again_ms) {
+Reply local_reply(int status, Millis retry_after_ms) {
   Reply r;
   r.status = status;
-  if (again_ms >= 0) {
-    std::string ms = std::to_string(again_ms % 1000);
+  if (retry_after_ms >= 0) {
+    std::string ms = std::to_string(retry_after_ms % 1000);
     r.fields.emplace_back("Retry-After",
-                          std::to_string(again_ms / 1000) + "." + std::string(3 - ms.size(), '0') + ms);
+                          std::to_string(retry_after_ms / 1000) + "." + std::string(3 - ms.size(), '0') + ms);
   }
   return r;
 }
@@ -73,7 +73,7 @@
 
 }  // namespace
 
-std::string request_bytes(const Call& c) {
+std::string serialize_request(const Call& c) {
   std::string out = c.method + " " + c.target + " HTTP/1.1\r\n";
   append_fields(out, c.fields);
   bool bodied = !c.body.empty() || c.method == "POST" || c.method == "PUT" || c.method == "PATCH";
@@ -81,7 +81,7 @@
   return out + "\r\n" + c.body;
 }
 
-std::string reply_bytes(const Reply& r, bool close, bool no_body) {
+std::string serialize_reply(const Reply& r, bool close, bool no_body) {
   const char* reason = ::http_status_str(http_status(r.status));
   std::string out = "HTTP/1.1 " + std::to_string(r.status) + " " + (reason ? reason : "Status") + "\r\n";
   append_fields(out, r.fields);
--- a/src/sidecar/call.h
+++ b/src/sidecar/call.h
@@ -20,24 +20,24 @@
   HttpFields fields;
 };
 
-inline constexpr const char *kIdField = "X-Pebblespindle-Request-Id",
+inline constexpr const char *kRequestIdField = "X-Pebblespindle-Request-Id",
                             *kDeadlineField = "X-Pebblespindle-Deadline-Ms",
-                            *kSealField = "X-Pebblespindle-Response-Seal",
-                            *kTargetField = "X-Pebblespindle-Target-Instance",
-                            *kCallerField = "X-Pebblespindle-Caller-Service",
-                            *kNotRunField = "X-Pebblespindle-Not-Executed",
-                            *kLoadField = "X-Pebblespindle-Server-Load";
+                            *kResponseSealField = "X-Pebblespindle-Response-Seal",
+                            *kTargetInstanceField = "X-Pebblespindle-Target-Instance",
+                            *kCallerServiceField = "X-Pebblespindle-Caller-Service",
+                            *kNotExecutedField = "X-Pebblespindle-Not-Executed",
+                            *kServerLoadField = "X-Pebblespindle-Server-Load";
 
 // Without the fields that concern one connection only, those its Connection field names among them.
-HttpFields end_to_end(const HttpFields& fields);
+HttpFields end_to_end_fields(const HttpFields& fields);
 void set_field(HttpFields& fields, const char* name, std::string value);
 
-Json fields_json(const HttpFields& fields);
-HttpFields fields_from(const Json& j);
+Json fields_to_json(const HttpFields& fields);
+HttpFields fields_from_json(const Json& j);
 
 // An answer of this system's own. `again_ms`: when to come back; below 0: no word of that.
-Reply own_reply(int status, Millis again_ms = -1);
-std::string request_bytes(const Call& c);
-std::string reply_bytes(const Reply& r, bool close, bool no_body);
+Reply local_reply(int status, Millis retry_after_ms = -1);
+std::string serialize_request(const Call& c);
+std::string serialize_reply(const Reply& r, bool close, bool no_body);
 
 }  // namespace pebblespindle::sidecar
--- a/src/sidecar/client_listener.h
+++ b/src/sidecar/client_listener.h
@@ -11,18 +11,18 @@
 
 class ClientListener {
  public:
-  struct Out {
-    std::function<void(CallId, Call)> call;
-    std::function<void(CallId)> gone;  // nobody waits for it any more
+  struct Callbacks {
+    std::function<void(CallId, Call)> on_call;
+    std::function<void(CallId)> on_client_gone;  // nobody waits for it any more
     std::function<const Limits&()> limits;
   };
-  ClientListener(EventLoop& loop, Out out) : loop_(loop), out_(std::move(out)) {}
+  ClientListener(EventLoop& loop, Callbacks callbacks) : loop_(loop), callbacks_(std::move(callbacks)) {}
   std::string listen(const Endpoint& at);  // empty, or why not
   void answer(CallId id, Reply r);
   // No new connections, and those that rest are closed; answers close theirs.
-  void leave();
+  void drain();
   // Requests without an answer, and connections with an answer that is not written out or not yet ended.
-  std::size_t waiting() const;
+  std::size_t pending_count() const;
 
  private:
   struct Client {
@@ -41,12 +41,12 @@
   void ended(const Ptr& c);
 
   EventLoop& loop_;
-  Out out_;
+  Callbacks callbacks_;
   std::unique_ptr<Acceptor> acceptor_;
   std::map<CallId, Ptr> calls_;
   std::map<Client*, Ptr> clients_;
   CallId last_ = 0;
-  bool leaving_ = false;
+  bool draining_ = false;
 };
 
 }  // namespace pebblespindle::sidecar
--- a/src/sidecar/connections.h
+++ b/src/sidecar/connections.h
@@ -14,14 +14,14 @@
 // PeerLinks to other sidecars: one each way, kept; frames are MessagePack.
 class PeerLinks {
  public:
-  struct Out {
-    std::function<void(const Endpoint& from, const Json&)> answer;  // over a link this side has opened
-    std::function<void(const Endpoint&, bool sent)> down;
-    std::function<void(const Endpoint&)> ending;     // it has announced its end
-    std::function<void(LinkId, const Json&)> offer;  // over a link the other side has opened
-    std::function<void(LinkId)> gone;
+  struct Callbacks {
+    std::function<void(const Endpoint& from, const Json&)> on_answer;  // over a link this side has opened
+    std::function<void(const Endpoint&, bool sent)> on_link_down;
+    std::function<void(const Endpoint&)> on_peer_ending;  // it has announced its end
+    std::function<void(LinkId, const Json&)> on_offer;    // over a link the other side has opened
+    std::function<void(LinkId)> on_link_closed;
   };
-  PeerLinks(EventLoop& loop, Out out) : loop_(loop), out_(std::move(out)) {}
+  PeerLinks(EventLoop& loop, Callbacks callbacks) : loop_(loop), callbacks_(std::move(callbacks)) {}
   std::string listen(const Endpoint& at);
   void send(const Endpoint& to, const Json& frame);
   bool is_linked(const Endpoint& to) const;
@@ -29,9 +29,9 @@
   // Takes back offer `n` where it still waits for its link. False: it may have left, and is called off there.
   bool withdraw(const Endpoint& to, std::uint64_t n);
   void reply(LinkId link, const Json& frame);
-  bool unsent() const;  // something waits to be written
+  bool has_unsent() const;  // something waits to be written
   // Tells all who have a link here that this process ends and takes nothing more.
-  void announce_end();
+  void announce_shutdown();
 
  private:
   struct Held {
@@ -46,7 +46,7 @@
   void accept(asio::ip::tcp::socket socket);
   void dial(const Endpoint& to);
   EventLoop& loop_;
-  Out out_;
+  Callbacks callbacks_;
   std::unique_ptr<Acceptor> acceptor_;
   std::map<Endpoint, Peer> peers_;
   std::map<LinkId, LineConnection::Ptr> callers_;
@@ -57,14 +57,14 @@
 // Connections to the database: one request at a time on each.
 class AppConnections {
  public:
-  struct Out {
-    std::function<void(ConnId)> up;
-    std::function<void(ConnId)> bytes;  // something has come, which may be part of an answer
-    std::function<void(ConnId, Reply, Millis keep_ms)> reply;
-    std::function<void(ConnId, bool refused)> down;
+  struct Callbacks {
+    std::function<void(ConnId)> on_up;
+    std::function<void(ConnId)> on_bytes;  // something has come, which may be part of an answer
+    std::function<void(ConnId, Reply, Millis keep_alive_ms)> on_reply;
+    std::function<void(ConnId, bool refused)> on_down;
   };
-  AppConnections(EventLoop& loop, std::optional<Endpoint> app, Out out)
-      : loop_(loop), app_(std::move(app)), out_(std::move(out)) {}
+  AppConnections(EventLoop& loop, std::optional<Endpoint> app, Callbacks callbacks)
+      : loop_(loop), app_(std::move(app)), callbacks_(std::move(callbacks)) {}
   void open(ConnId id);
   void send(ConnId id, const Call& c);
   void close(ConnId id);
@@ -77,7 +77,7 @@
   void read(ConnId id, std::string_view bytes);
   EventLoop& loop_;
   std::optional<Endpoint> app_;
-  Out out_;
+  Callbacks callbacks_;
   std::map<ConnId, std::shared_ptr<Conn>> conns_;
   std::set<ConnId> opening_;
 };
--- a/src/sidecar/constants.h
+++ b/src/sidecar/constants.h
@@ -13,7 +13,7 @@
 // Bytes; a body held whole: a few fit into a sidecar's memory
 constexpr std::size_t kMaxCallBytes = 8 << 20;
 // Bytes; a database's answer has a few fields, never as many as this
-constexpr std::size_t kMaxAnswerHeadBytes = 65536;
+constexpr std::size_t kMaxResponseHeadBytes = 65536;
 // Levels; a frame holds lists of fields and nothing deeper
 constexpr int kMaxFrameDepth = 4;
 // ms; no client waits an hour: what a peer's frame says beyond it is a fault
@@ -23,7 +23,7 @@
 // ms; a hundredth of a window: its edge is sharp enough
 constexpr Millis kRetryBudgetSlotMs = 100;
 // ms; many round trips; then another database is tried
-constexpr Millis kPeerConnectMs = 400;
+constexpr Millis kPeerConnectTimeoutMs = 400;
 // ms; unacknowledged bytes on a link between sidecars: it is dead
 constexpr Millis kPeerLinkTimeoutMs = 1500;
 // ms; a sidecar that could not be reached is left alone this long
@@ -39,43 +39,43 @@
 // ms; half of what was told of a load has passed after this
 constexpr double kLoadHalfLifeMs = 300.0;
 // Of the slots; what a database is thought to run without word
-constexpr double kAssumedLoad = 0.45;
+constexpr double kAssumedUtilization = 0.45;
 // Of the slots; a database in another zone is chosen beyond this
 constexpr double kOtherZoneCost = 0.35;
 // Full databases met before a request waits at one of them
-constexpr int kMaxFullDatabases = 4;
+constexpr int kMaxFullRefusals = 4;
 // Databases compared in a zone; more would send all to the same
-constexpr std::size_t kComparedDatabases = 4;
+constexpr std::size_t kCandidatesPerZone = 4;
 // Of the slots; what a database that always fails costs more
-constexpr double kUnhealthyCost = 6.0;
+constexpr double kFailureCost = 6.0;
 // ms; a rank below another counts as an aim that ends this much later
 constexpr Millis kPriorityStepMs = 60;
 // Ranks; more than any configuration has
-constexpr std::int64_t kMaxPriorities = 100;
+constexpr std::int64_t kMaxPriority = 100;
 // Of the mean; what is left of the aim when a request begins: its work may take longer than most
-constexpr double kWorkMargin = 2.0;
+constexpr double kServiceTimeMargin = 2.0;
 // Of the aim; a request that has not begun to run by then is refused
 constexpr double kMaxQueueShare = 0.7;
 // ms; no second database is asked sooner
-constexpr Millis kMinHedgeMs = 40;
+constexpr Millis kMinHedgeDelayMs = 40;
 // Mean deviations over the mean answer before one is missed
 constexpr double kHedgeDeviations = 4.0;
 // Of the aim; before any answer is known, one is missed after this
 constexpr double kHedgeTargetShare = 0.6;
 // Weight of one answer in mean and deviation
-constexpr double kAnswerTimeWeight = 0.05;
+constexpr double kResponseTimeWeight = 0.05;
 // ms; taken off for the way back from the database
-constexpr Millis kReturnWayMs = 4;
+constexpr Millis kReturnPathMs = 4;
 // Weight of one result; the last twenty count
-constexpr double kFailureWeight = 0.1;
+constexpr double kResultWeight = 0.1;
 // ms; a database that is down is tried again
-constexpr Millis kDownProbeMs = 250;
+constexpr Millis kDownProbeIntervalMs = 250;
 // Requests in a row without an answer: it is down
-constexpr int kSilencesUntilDown = 3;
+constexpr int kTimeoutsUntilDown = 3;
 // Failures in a row: one that fails two of five is seldom taken for one that is down
 constexpr int kFailuresUntilDown = 6;
 // ms; on this machine; the database counts this as part of its slots
-constexpr Millis kAppConnectMs = 500;
+constexpr Millis kAppConnectTimeoutMs = 500;
 // Of the idle time at which a connection was found dead: others are used up to this
 constexpr double kTrustedIdleShare = 0.7;
 // ms; a connection is kept unused before the database has told
@@ -85,8 +85,8 @@
 // ms; a refused client comes back after about half a request's work
 constexpr Millis kRetryAfterMs = 80;
 // ms; a request whose caller has left may run on so long, since its connection is worth keeping
-constexpr Millis kAbandonedRequestMs = 400;
+constexpr Millis kAbandonedRequestLimitMs = 400;
 // ms; callers count a second of silence as a failure
-constexpr Millis kHeartbeatAnswerMs = 900;
+constexpr Millis kHeartbeatTimeoutMs = 900;
 
 }  // namespace pebblespindle
--- a/src/sidecar/frame.cc
+++ b/src/sidecar/frame.cc
@@ -24,13 +24,13 @@
 
 }  // namespace
 
-std::string packed(const Json& j) {
+std::string encode_frame(const Json& j) {
   std::string out;
   Json::to_msgpack(j, out);
   return out;
 }
 
-std::optional<Json> unpacked(std::string_view bytes) {
+std::optional<Json> decode_frame(std::string_view bytes) {
   Json j;
   Shallow sax(j);
   if (!Json::sax_parse(bytes.begin(), bytes.end(), &sax, Json::input_format_t::msgpack, true) ||
@@ -39,36 +39,36 @@
   return j;
 }
 
-Millis figure(const Json& m, const char* key, Millis otherwise, Millis least, Millis most) {
+Millis clamped_field(const Json& m, const char* key, Millis fallback, Millis lowest, Millis highest) {
   auto it = m.find(key);
-  if (it == m.end() || !it->is_number()) return otherwise;
+  if (it == m.end() || !it->is_number()) return fallback;
   double v = it->get<double>();
-  if (!(v > double(least))) return least;
-  return v < double(most) ? Millis(v) : most;
+  if (!(v > double(lowest))) return lowest;
+  return v < double(highest) ? Millis(v) : highest;
 }
 
-std::uint64_t number(const Json& m, const char* key) {
+std::uint64_t unsigned_field(const Json& m, const char* key) {
   auto it = m.find(key);
   if (it == m.end() || !it->is_number_integer()) return 0;
   return it->is_number_unsigned() || it->get<std::int64_t>() > 0 ? it->get<std::uint64_t>() : 0;
 }
 
-std::string text(const Json& m, const char* key) {
+std::string text_field(const Json& m, const char* key) {
   auto it = m.find(key);
   return it != m.end() && it->is_string() ? it->get<std::string>() : std::string();
 }
 
-bool flag(const Json& m, const char* key) {
+bool bool_field(const Json& m, const char* key) {
   auto it = m.find(key);
   return it != m.end() && it->is_boolean() && it->get<bool>();
 }
 
-bool one_line(std::string_view s) {
+bool is_single_line(std::string_view s) {
   return std::none_of(s.begin(), s.end(), [](char c) { return c == '\r' || c == '\n' || c == '\0'; });
 }
 
-bool one_word(std::string_view s) {
-  return !s.empty() && one_line(s) && s.find_first_of(" \t") == std::string_view::npos;
+bool is_single_word(std::string_view s) {
+  return !s.empty() && is_single_line(s) && s.find_first_of(" \t") == std::string_view::npos;
 }
 
 }  // namespace pebblespindle::sidecar
--- a/src/sidecar/frame.h
+++ b/src/sidecar/frame.h
@@ -8,19 +8,19 @@
 namespace pebblespindle::sidecar {
 
 // The type of the frame by which a sidecar says that it ends and takes no more offers.
-inline constexpr const char* kEndFrame = "end";
+inline constexpr const char* kShutdownFrame = "end";
 
-std::string packed(const Json& j);
-std::optional<Json> unpacked(std::string_view bytes);
+std::string encode_frame(const Json& j);
+std::optional<Json> decode_frame(std::string_view bytes);
 
 // A figure inside its bounds, whatever was sent.
-Millis figure(const Json& m, const char* key, Millis otherwise, Millis least, Millis most);
-std::uint64_t number(const Json& m, const char* key);  // 0: none
-std::string text(const Json& m, const char* key);
-bool flag(const Json& m, const char* key);
+Millis clamped_field(const Json& m, const char* key, Millis fallback, Millis lowest, Millis highest);
+std::uint64_t unsigned_field(const Json& m, const char* key);  // 0: none
+std::string text_field(const Json& m, const char* key);
+bool bool_field(const Json& m, const char* key);
 
 // Whether it can be written into the head of a message without becoming two.
-bool one_line(std::string_view s);
-bool one_word(std::string_view s);
+bool is_single_line(std::string_view s);
+bool is_single_word(std::string_view s);
 
 }  // namespace pebblespindle::sidecar
--- a/src/sidecar/inbound.cc
+++ b/src/sidecar/inbound.cc
@@ -7,7 +7,7 @@
 
 namespace pebblespindle::sidecar {
 
-void Inbound::database(std::optional<Instance> i) {
+void Inbound::set_database(std::optional<Instance> i) {
   bool other = !here_ || !i || here_->id != i->id;
   here_ = std::move(i);
   if (!other) return;
@@ -53,29 +53,31 @@
 }
 
 void Inbound::offer(LinkId link, const Json& m) {
-  const std::uint64_t n = number(m, "n");
+  const std::uint64_t n = unsigned_field(m, "n");
   // One that is leaving takes nothing new: whoever sends has not heard yet, and turns elsewhere.
-  const bool meant_for_here = here_ && !here_->draining && text(m, "i") == here_->id.value;
-  if (!taking_ || !meant_for_here) return say_no(link, n, "gone", false);
-  Call call{text(m, "m"), text(m, "u"), text(m, "b"), fields_from(m.value("h", Json()))};
-  if (!one_word(call.method) || !one_word(call.target)) return say_no(link, n, "gone", false);
+  const bool meant_for_here = here_ && !here_->draining && text_field(m, "i") == here_->id.value;
+  if (!accepting_ || !meant_for_here) return say_no(link, n, "gone", false);
+  Call call{text_field(m, "m"), text_field(m, "u"), text_field(m, "b"),
+            fields_from_json(m.value("h", Json()))};
+  if (!is_single_word(call.method) || !is_single_word(call.target)) return say_no(link, n, "gone", false);
   if (down_ && (trial_ || now_ < trial_at_)) return say_no(link, n, "down", false);
-  const Millis left = figure(m, "d", 0, 0, kMaxWaitMs);
-  const Millis until_aim = figure(m, "a", left, -kMaxWaitMs, kMaxWaitMs);
-  const bool may_wait = figure(m, "w", 0, 0, kMaxWaitMs) > 0;
+  const Millis left = clamped_field(m, "d", 0, 0, kMaxWaitMs);
+  const Millis until_aim = clamped_field(m, "a", left, -kMaxWaitMs, kMaxWaitMs);
+  const bool may_wait = clamped_field(m, "w", 0, 0, kMaxWaitMs) > 0;
   // What begins later than this would not end within its aim.
-  const Millis wait = std::min(figure(m, "w", 0, 0, kMaxWaitMs), until_aim - Millis(kWorkMargin * mean_));
+  const Millis wait =
+      std::min(clamped_field(m, "w", 0, 0, kMaxWaitMs), until_aim - Millis(kServiceTimeMargin * mean_));
   Job j;
   j.link = link;
   j.n = n;
-  j.alone = call.method == "HEAD" || !find_field(call.fields, kIdField);
+  j.alone = call.method == "HEAD" || !find_field(call.fields, kRequestIdField);
   j.call = std::move(call);
   j.deadline = now_ + left;
   j.until = now_ + wait;
   // The aim that ends first goes first; a rank is worth a little of it.
-  j.due = now_ + until_aim + figure(m, "p", 1, 0, kMaxPriorities) * kPriorityStepMs;
-  j.safe = flag(m, "s");
-  j.caller = text(m, "c");
+  j.due = now_ + until_aim + clamped_field(m, "p", 1, 0, kMaxPriority) * kPriorityStepMs;
+  j.safe = bool_field(m, "s");
+  j.caller = text_field(m, "c");
   const std::uint64_t id = ++last_job_;
   // A wait that will be too long is refused now.
   if (running_ >= slots() && (wait <= 0 || expected_wait_ms(rank(id, j)) > double(wait)))
@@ -126,7 +128,7 @@
   for (auto& [id, s] : servers_) {
     if (!s.up || s.job != 0) continue;
     Millis age = now_ - s.idle_since;
-    if (s.keep_ms > 0 && age >= s.keep_ms) {
+    if (s.keep_alive_ms > 0 && age >= s.keep_alive_ms) {
       old.push_back(id);
       continue;
     }
@@ -151,14 +153,14 @@
   s.life = here_->id;
   s.job = id;
   j.conn = c;
-  s.timer = timers_.at(now_ + kAppConnectMs, [this, c] {
+  s.timer = timers_.at(now_ + kAppConnectTimeoutMs, [this, c] {
     servers_[c].timer = 0;
-    server_down(c, false);
+    app_connection_down(c, false);
   });
-  port_.open_server(c);
+  port_.open_app_connection(c);
 }
 
-void Inbound::server_up(ConnId id) {
+void Inbound::app_connection_up(ConnId id) {
   auto it = servers_.find(id);
   if (it == servers_.end()) return;
   Server& s = it->second;
@@ -179,7 +181,7 @@
 }
 
 // A connection that speaks unasked is not used again: what it says next could be taken for an answer.
-void Inbound::server_bytes(ConnId id) {
+void Inbound::app_bytes_received(ConnId id) {
   auto it = servers_.find(id);
   if (it != servers_.end() && it->second.job == 0) drop_server(id);
 }
@@ -192,26 +194,27 @@
   j.sent = now_;
   j.rested = s.used ? now_ - s.idle_since : 0;
   Call c = j.call;
-  set_field(c.fields, kDeadlineField, std::to_string(std::max<Millis>(1, j.deadline - now_ - kReturnWayMs)));
-  set_field(c.fields, kTargetField, s.life.value);
-  set_field(c.fields, kCallerField, j.caller);
-  port_.to_server(conn, c);
+  set_field(c.fields, kDeadlineField, std::to_string(std::max<Millis>(1, j.deadline - now_ - kReturnPathMs)));
+  set_field(c.fields, kTargetInstanceField, s.life.value);
+  set_field(c.fields, kCallerServiceField, j.caller);
+  port_.send_to_app(conn, c);
 }
 
-void Inbound::server_reply(ConnId id, Reply r, Millis keep_ms) {
+void Inbound::app_reply_received(ConnId id, Reply r, Millis keep_alive_ms) {
   auto it = servers_.find(id);
   if (it == servers_.end()) return;
   Server& s = it->second;
   const std::uint64_t job = s.job;
   if (job == 0) return drop_server(id);  // an answer nobody waits for
   Job& j = jobs_[job];
-  const std::string *ours = find_field(j.call.fields, kIdField), *theirs = find_field(r.fields, kIdField);
+  const std::string *ours = find_field(j.call.fields, kRequestIdField),
+                    *theirs = find_field(r.fields, kRequestIdField);
   if (ours && theirs && *ours != *theirs) {
-    s.keep_ms = -1;  // of another request, late: ours is still due, on this connection
+    s.keep_alive_ms = -1;  // of another request, late: ours is still due, on this connection
     return;
   }
-  const bool stamped = find_field(r.fields, kSealField) != nullptr;
-  const bool not_run = r.status == 421 || (r.status >= 400 && find_field(r.fields, kNotRunField));
+  const bool stamped = find_field(r.fields, kResponseSealField) != nullptr;
+  const bool not_run = r.status == 421 || (r.status >= 400 && find_field(r.fields, kNotExecutedField));
   // Not what a database says: a success without its stamp, a status that is none; or one without an id on a
   // connection that has carried others, and so perhaps an answer to one of them.
   const bool broken = r.status < 200 || r.status > 599 || (r.status < 300 && !stamped) ||
@@ -221,14 +224,15 @@
   else
     met_error();
   double took = double(now_ - j.started);
-  if (r.status < 500) mean_ = mean_ == 0 ? took : mean_ + (took - mean_) * kFailureWeight;
+  if (r.status < 500) mean_ = mean_ == 0 ? took : mean_ + (took - mean_) * kResultWeight;
   // One that has rested longer than is trusted works all the same: others are trusted as long.
   if (s.used && !broken) idle_most_ = std::max(idle_most_, j.rested);
-  const bool keep = keep_ms >= 0 && s.keep_ms >= 0 && !broken && theirs && !j.alone && here(s.life);
+  const bool keep =
+      keep_alive_ms >= 0 && s.keep_alive_ms >= 0 && !broken && theirs && !j.alone && here(s.life);
   s.job = 0;
   s.used = true;
   s.idle_since = now_;
-  s.keep_ms = keep_ms;
+  s.keep_alive_ms = keep_alive_ms;
   --running_;
   if (broken || (not_run && j.again)) {
     say_fail(j);
@@ -236,7 +240,7 @@
     Json m{{"t", "a"},
            {"n", j.n},
            {"s", r.status},
-           {"h", fields_json(end_to_end(r.fields))},
+           {"h", fields_to_json(end_to_end_fields(r.fields))},
            {"b", std::move(r.body)},
            {"l", load()}};
     if (not_run) m["x"] = true;
@@ -251,7 +255,7 @@
   idle_most_ = std::max(kMinIdleLimitMs, std::min(idle_most_, Millis(double(rested) * kTrustedIdleShare)));
 }
 
-void Inbound::server_down(ConnId id, bool refused) {
+void Inbound::app_connection_down(ConnId id, bool refused) {
   auto it = servers_.find(id);
   if (it == servers_.end()) return;
   Server s = it->second;
@@ -265,7 +269,7 @@
   --running_;
   timers_.cancel(j.timer);
   if (!s.up) {  // the request was never sent
-    if (refused || ++silent_ >= kSilencesUntilDown) set_down();
+    if (refused || ++silent_ >= kTimeoutsUntilDown) set_down();
     met(false, false);
     say_not_run(j, "down", false);
   } else {
@@ -310,26 +314,26 @@
   if (it == servers_.end()) return;
   timers_.cancel(it->second.timer);
   servers_.erase(it);
-  port_.close_server(id);
+  port_.close_app_connection(id);
 }
 
 // Each result at the database counts: it alone is asked through here.
 void Inbound::met(bool good, bool silent) {
-  ill_ += ((good ? 0.0 : 1.0) - ill_) * kFailureWeight;
+  ill_ += ((good ? 0.0 : 1.0) - ill_) * kResultWeight;
   failed_ = good ? 0 : failed_ + 1;
   if (good) {
     silent_ = 0;
     down_ = trial_ = false;
     return;
   }
-  const bool too_silent = silent && ++silent_ >= kSilencesUntilDown;
+  const bool too_silent = silent && ++silent_ >= kTimeoutsUntilDown;
   if (too_silent || trial_ || failed_ >= kFailuresUntilDown) set_down();
 }
 
 // The database says itself that it failed, perhaps since what it asks did: it is chosen less, and takes on.
 // To close all of a service off for the failures of another one would spread these.
 void Inbound::met_error() {
-  ill_ += (1.0 - ill_) * kFailureWeight;
+  ill_ += (1.0 - ill_) * kResultWeight;
   failed_ = silent_ = 0;
   down_ = trial_ = false;
 }
@@ -338,12 +342,12 @@
 void Inbound::set_down() {
   down_ = true;
   trial_ = false;
-  trial_at_ = now_ + kDownProbeMs;
+  trial_at_ = now_ + kDownProbeIntervalMs;
   turn_away("down");
 }
 
-void Inbound::give_up() {
-  taking_ = false;
+void Inbound::fail_pending() {
+  accepting_ = false;
   turn_away("gone");
   std::vector<std::uint64_t> running;
   for (auto& [id, job] : jobs_) running.push_back(id);
@@ -369,7 +373,7 @@
   }
 }
 
-void Inbound::link_gone(LinkId link) {
+void Inbound::link_closed(LinkId link) {
   std::vector<std::uint64_t> never_run;
   for (auto& [id, j] : jobs_)
     if (j.link == link && abandon(id)) never_run.push_back(id);
@@ -383,7 +387,7 @@
   if (queue_.erase(rank(id, j))) return true;
   if (!j.safe) return false;  // what is known of it then would be less than what its database says
   timers_.cancel(j.timer);
-  j.timer = timers_.at(std::min(j.deadline, now_ + kAbandonedRequestMs), [this, id] {
+  j.timer = timers_.at(std::min(j.deadline, now_ + kAbandonedRequestLimitMs), [this, id] {
     jobs_[id].timer = 0;
     break_off(id);
   });
--- a/src/sidecar/inbound.h
+++ b/src/sidecar/inbound.h
@@ -13,41 +13,41 @@
 
 namespace pebblespindle::sidecar {
 
-class InPort {
+class InboundPort {
  public:
-  virtual ~InPort() = default;
+  virtual ~InboundPort() = default;
   virtual void reply(LinkId, const Json& frame) = 0;
-  virtual void open_server(ConnId) = 0;
-  virtual void to_server(ConnId, const Call&) = 0;
-  virtual void close_server(ConnId) = 0;
+  virtual void open_app_connection(ConnId) = 0;
+  virtual void send_to_app(ConnId, const Call&) = 0;
+  virtual void close_app_connection(ConnId) = 0;
 };
 
 class Inbound {
  public:
-  Inbound(InPort& port, TimerQueue& timers) : port_(port), timers_(timers) {}
+  Inbound(InboundPort& port, TimerQueue& timers) : port_(port), timers_(timers) {}
   void set_time(Millis now) { now_ = now; }
 
   // The database that is here now; none once it has ended.
-  void database(std::optional<Instance> i);
+  void set_database(std::optional<Instance> i);
   const std::optional<Instance>& database() const { return here_; }
 
   void offer(LinkId link, const Json& m);
   // Nobody waits for it any more: what has not been written to the database never will be, and what may be
   // repeated is broken off there unless it ends soon.
   void cancel(LinkId link, std::uint64_t n);
-  void link_gone(LinkId link);
+  void link_closed(LinkId link);
 
-  void server_up(ConnId id);
+  void app_connection_up(ConnId id);
   // Something has come from the database, perhaps a part of an answer only.
-  void server_bytes(ConnId id);
+  void app_bytes_received(ConnId id);
   // keep_ms: how long the database says it keeps the connection unused; below 0: it closes it.
-  void server_reply(ConnId id, Reply r, Millis keep_ms);
-  void server_down(ConnId id, bool refused);
-  std::size_t busy() const { return running_ + queue_.size(); }
+  void app_reply_received(ConnId id, Reply r, Millis keep_alive_ms);
+  void app_connection_down(ConnId id, bool refused);
+  std::size_t pending_count() const { return running_ + queue_.size(); }
   // The end of this process: what is here is run, and nothing more is taken.
-  void stop_taking() { taking_ = false; }
+  void stop_accepting() { accepting_ = false; }
   // Whatever has no answer yet is told of, as not run or as a failure.
-  void give_up();
+  void fail_pending();
 
  private:
   struct Job {
@@ -66,7 +66,7 @@
     InstanceId life;  // the database it was opened to
     bool up = false, used = false;
     std::uint64_t job = 0;  // 0: idle
-    Millis idle_since = 0, keep_ms = 0;
+    Millis idle_since = 0, keep_alive_ms = 0;
     TimerQueue::Id timer = 0;
   };
   using Rank = std::pair<Millis, std::uint64_t>;  // when it is due, job
@@ -95,7 +95,7 @@
   void set_down();
   ConnId idle_server(bool safe);
 
-  InPort& port_;
+  InboundPort& port_;
   TimerQueue& timers_;
   Millis now_ = 0;
   std::optional<Instance> here_;
@@ -107,7 +107,7 @@
   ConnId last_conn_ = 0;
   double ill_ = 0, mean_ = 0;    // share of results that were failures; how long a request has its slot, ms
   int silent_ = 0, failed_ = 0;  // in a row
-  bool down_ = false, trial_ = false, taking_ = true;
+  bool down_ = false, trial_ = false, accepting_ = true;
   Millis trial_at_ = 0, idle_most_ = kInitialIdleLimitMs;
 };
 
--- a/src/sidecar/instance_heartbeats.h
+++ b/src/sidecar/instance_heartbeats.h
@@ -13,15 +13,16 @@
 
 class InstanceHeartbeats {
  public:
-  static constexpr std::uint64_t kEnd = std::numeric_limits<std::uint64_t>::max();
+  static constexpr std::uint64_t kDepartureNumber = std::numeric_limits<std::uint64_t>::max();
   using Done = std::function<void(int status)>;
   explicit InstanceHeartbeats(TimerQueue& timers) : timers_(timers) {}
-  void ask(Millis now, const InstanceId& id, std::uint64_t number, Done done) {
-    answered(id, number, 503);  // the same again: the former caller has gone on
-    waiting_[{id, number}] = {std::move(done), timers_.at(now + kHeartbeatAnswerMs,
-                                                          [this, id, number] { answered(id, number, 503); })};
+  void await_answer(Millis now, const InstanceId& id, std::uint64_t number, Done done) {
+    on_answer(id, number, 503);  // the same again: the former caller has gone on
+    waiting_[{id, number}] = {std::move(done), timers_.at(now + kHeartbeatTimeoutMs, [this, id, number] {
+                                on_answer(id, number, 503);
+                              })};
   }
-  void answered(const InstanceId& id, std::uint64_t number, int status) {
+  void on_answer(const InstanceId& id, std::uint64_t number, int status) {
     auto it = waiting_.find({id, number});
     if (it == waiting_.end()) return;
     Asked a = std::move(it->second);
--- a/src/sidecar/outbound.cc
+++ b/src/sidecar/outbound.cc
@@ -22,13 +22,13 @@
 
 }  // namespace
 
-Outbound::Outbound(OutPort& port, TimerQueue& timers, const ClusterState& cluster, Terms terms)
+Outbound::Outbound(OutboundPort& port, TimerQueue& timers, const ClusterState& cluster, Options options)
     : port_(port),
       timers_(timers),
       cluster_(cluster),
-      terms_(std::move(terms)),
-      budget_(terms_.retry_ratio, terms_.retry_window_ms),
-      rng_(terms_.seed) {}
+      options_(std::move(options)),
+      budget_(options_.retry_ratio, options_.retry_window_ms),
+      rng_(options_.seed) {}
 
 Outbound::Work* Outbound::find(CallId id) {
   auto it = works_.find(id);
@@ -45,15 +45,15 @@
   return r.weighted_targets.front().service;
 }
 
-void Outbound::call(CallId id, Call c) {
-  if (!taking_) return port_.answer(id, own_reply(503, kRetryAfterMs));
-  if (!cluster_.has_configuration()) return port_.answer(id, own_reply(503, kNodeRenewalMs));
+void Outbound::start_call(CallId id, Call c) {
+  if (!accepting_) return port_.answer(id, local_reply(503, kRetryAfterMs));
+  if (!cluster_.has_configuration()) return port_.answer(id, local_reply(503, kNodeRenewalMs));
   const std::string* host = find_field(c.fields, "Host");
-  if (!host || c.target.empty() || c.target.front() != '/') return port_.answer(id, own_reply(400));
+  if (!host || c.target.empty() || c.target.front() != '/') return port_.answer(id, local_reply(400));
   auto path = std::string_view(c.target).substr(0, c.target.find('?'));
   auto route = cluster_.route(host->substr(0, host->find(':')), path);
   // A node without news cannot tell a route that is missing from one it has not heard of.
-  if (!route) return port_.answer(id, sure_ ? own_reply(404) : own_reply(503, kNodeRenewalMs));
+  if (!route) return port_.answer(id, state_current_ ? local_reply(404) : local_reply(503, kNodeRenewalMs));
   Work& w = works_[id];
   w.route = route;
   w.service = draw(*route);
@@ -61,20 +61,20 @@
   w.began = now_;
   Millis left = route->timeout_ms;
   if (auto told = millis_of(find_field(c.fields, kDeadlineField))) left = std::min(left, *told);
-  w.deadline = now_ + std::max<Millis>(1, left - kReturnWayMs);
+  w.deadline = now_ + std::max<Millis>(1, left - kReturnPathMs);
   w.call = std::move(c);
   w.timer = timers_.at(w.deadline, [this, id] {
     Work* x = find(id);
     if (!x) return;
     x->timer = 0;
     withdraw(*x);
-    finish(id, x->may_run > 0 ? own_reply(504) : own_reply(503, kRetryAfterMs));
+    finish(id, x->may_run > 0 ? local_reply(504) : local_reply(503, kRetryAfterMs));
   });
   if (w.safe) {
     auto u = usual_.find(route->name);
     double most = double(route->latency_target_ms) * kHedgeTargetShare;
     double patience = u == usual_.end() ? most : u->second.mean + kHedgeDeviations * u->second.deviation;
-    w.hedge = timers_.at(now_ + std::max<Millis>(kMinHedgeMs, Millis(patience)), [this, id] {
+    w.hedge = timers_.at(now_ + std::max<Millis>(kMinHedgeDelayMs, Millis(patience)), [this, id] {
       if (Work* x = find(id)) {
         x->hedge = 0;
         on_hedge(id);
@@ -94,10 +94,10 @@
 double Outbound::load(const Instance& i, const Peer& p) const {
   double cap = std::max(1, i.capacity);
   double fresh = std::exp2(-double(now_ - p.told_at) / kLoadHalfLifeMs);
-  double running = p.told * fresh + kAssumedLoad * cap * (1 - fresh) + p.since * fresh;
+  double running = p.told * fresh + kAssumedUtilization * cap * (1 - fresh) + p.since * fresh;
   running = std::max(running, double(p.flying));
-  double cost = (running + 1) / cap + p.ill * kUnhealthyCost;
-  if (i.zone != terms_.zone) cost += kOtherZoneCost;
+  double cost = (running + 1) / cap + p.ill * kFailureCost;
+  if (i.zone != options_.zone) cost += kOtherZoneCost;
   return cost;
 }
 
@@ -127,9 +127,9 @@
   std::vector<const Instance*> home, away;
   for (auto* i : cluster_.instances_of(w.service)) {
     if (i->draining || w.tried.count(i->id) || !may_have_room(w, i->id, room)) continue;
-    if (now_ < peers_[i->id].away.until || ending_peers_.count(i->address)) continue;
+    if (now_ < peers_[i->id].away.until || shutting_down_peers_.count(i->address)) continue;
     if (!has_link(i->address, link)) continue;
-    (i->zone == terms_.zone ? home : away).push_back(i);
+    (i->zone == options_.zone ? home : away).push_back(i);
   }
   return choose_among(home, away);
 }
@@ -140,7 +140,7 @@
   const Instance* best = nullptr;
   double best_load = 0;
   for (auto* list : {&home, &away}) {
-    for (std::size_t n = 0; n < std::min(list->size(), kComparedDatabases); ++n) {
+    for (std::size_t n = 0; n < std::min(list->size(), kCandidatesPerZone); ++n) {
       std::swap((*list)[n], (*list)[n + rng_() % (list->size() - n)]);
       double l = load(*(*list)[n], peers_[(*list)[n]->id]);
       if (!best || l < best_load) best = (*list)[n], best_load = l;
@@ -156,7 +156,7 @@
 void Outbound::next(CallId id, bool wait) {
   Work* w = find(id);
   if (!w) return;
-  wait = wait || int(w->full.size()) >= kMaxFullDatabases || is_crowded(*w);
+  wait = wait || int(w->full.size()) >= kMaxFullRefusals || is_crowded(*w);
   const Instance* i = choose(*w, Room::kFree, Link::kUp);
   if (!i) {  // all are full, or gone
     wait = true;
@@ -188,14 +188,14 @@
          {"i", i.id.value},
          {"m", w.call.method},
          {"u", w.call.target},
-         {"h", fields_json(w.call.fields)},
+         {"h", fields_to_json(w.call.fields)},
          {"b", w.call.body},
          {"d", w.deadline - now_},
          {"w", wait ? wait_until(w) - now_ : 0},
          {"a", w.began + w.route->latency_target_ms - now_},
          {"p", w.route->priority},
          {"s", w.safe},
-         {"c", terms_.caller}};
+         {"c", options_.caller}};
   port_.offer(i.address, m);
 }
 
@@ -242,11 +242,11 @@
   if (p.flying > 0) --p.flying;
 }
 
-void Outbound::frame(const Endpoint& from, const Json& m) {
-  auto it = attempts_.find(number(m, "n"));
+void Outbound::handle_frame(const Endpoint& from, const Json& m) {
+  auto it = attempts_.find(unsigned_field(m, "n"));
   // A number alone could be of another life, or another's at an address that has changed hands.
   if (it == attempts_.end() || !(it->second.at == from)) return;
-  const std::string t = text(m, "t");
+  const std::string t = text_field(m, "t");
   if (t != "no" && t != "fail" && t != "a") return;
   Attempt a = it->second;
   const std::uint64_t n = it->first;
@@ -259,10 +259,10 @@
   if (t == "no") {  // it never came near the database
     --w->reached;
     --w->may_run;
-    const std::string why = text(m, "y");
+    const std::string why = text_field(m, "y");
     if (why == "full") {
       note_full(peers_[a.instance]);
-      if (flag(m, "w")) {  // it has waited as long as it may, or would have to
+      if (bool_field(m, "w")) {  // it has waited as long as it may, or would have to
         note_no_room(*w, a.instance);
         if (w->open.empty()) refuse(id);
         return;
@@ -275,13 +275,13 @@
     if (!w->open.empty()) return;
     return next(id, false);
   }
-  if (!std::exchange(w->counted, true)) budget_.first(now_);
+  if (!std::exchange(w->counted, true)) budget_.count_first_attempt(now_);
   if (t == "fail") return failed(id);
-  Reply r{int(figure(m, "s", 0, 0, 999)), text(m, "b"), fields_from(m.value("h", Json()))};
-  if (flag(m, "x")) --w->may_run;  // the database's own promise that it has not run
+  Reply r{int(clamped_field(m, "s", 0, 0, 999)), text_field(m, "b"), fields_from_json(m.value("h", Json()))};
+  if (bool_field(m, "x")) --w->may_run;  // the database's own promise that it has not run
   // To a client these are promises, which this database has not given; below 200 or above 599 is no answer.
   const bool promise = r.status == 408 || r.status == 421 || r.status == 429 || r.status == 503;
-  if (flag(m, "x") || promise || r.status < 200 || r.status > 599) return failed(id);
+  if (bool_field(m, "x") || promise || r.status < 200 || r.status > 599) return failed(id);
   if (r.status >= 500 && r.status != 504 && w->safe) {
     if (may_ask_another(*w) && spend(*w)) return next(id, false);
     if (!w->open.empty()) return;
@@ -289,9 +289,9 @@
   if (r.status < 400) {
     auto& u = usual_[w->route->name];
     double took = double(now_ - w->began);
-    u.mean = u.mean == 0 ? took : u.mean + (took - u.mean) * kAnswerTimeWeight;
+    u.mean = u.mean == 0 ? took : u.mean + (took - u.mean) * kResponseTimeWeight;
     u.deviation =
-        u.deviation == 0 ? took : u.deviation + (std::abs(took - u.mean) - u.deviation) * kAnswerTimeWeight;
+        u.deviation == 0 ? took : u.deviation + (std::abs(took - u.mean) - u.deviation) * kResponseTimeWeight;
   }
   finish(id, std::move(r));
 }
@@ -311,8 +311,8 @@
 
 // One more database, out of the budget.
 bool Outbound::spend(Work& w) {
-  if (!std::exchange(w.counted, true)) budget_.first(now_);
-  return budget_.spend(now_);
+  if (!std::exchange(w.counted, true)) budget_.count_first_attempt(now_);
+  return budget_.try_spend(now_);
 }
 
 void Outbound::Backoff::extend(Millis now) {
@@ -326,8 +326,8 @@
 
 void Outbound::refuse(CallId id) {
   Work* w = find(id);
-  if (w->may_run > 0) return finish(id, own_reply(502));
-  finish(id, own_reply(503, kRetryAfterMs));
+  if (w->may_run > 0) return finish(id, local_reply(502));
+  finish(id, local_reply(503, kRetryAfterMs));
 }
 
 // An answer is missed: a second database is asked, and the first to answer counts.
@@ -360,8 +360,8 @@
   if (r.status != 0) port_.answer(id, std::move(r));
 }
 
-void Outbound::give_up() {
-  taking_ = false;
+void Outbound::fail_pending() {
+  accepting_ = false;
   std::vector<CallId> open;
   for (auto& [id, work] : works_) open.push_back(id);
   for (auto id : open) {
@@ -371,7 +371,7 @@
 }
 
 void Outbound::link_down(const Endpoint& at, bool sent) {
-  ending_peers_.erase(at);
+  shutting_down_peers_.erase(at);
   unreachable_[at].extend(now_);
   std::vector<std::uint64_t> lost;
   for (auto& [n, a] : attempts_)
--- a/src/sidecar/outbound.h
+++ b/src/sidecar/outbound.h
@@ -13,9 +13,9 @@
 
 namespace pebblespindle::sidecar {
 
-class OutPort {
+class OutboundPort {
  public:
-  virtual ~OutPort() = default;
+  virtual ~OutboundPort() = default;
   virtual void answer(CallId, Reply) = 0;
   // To the sidecar at that address; this machine's own half is one of them.
   virtual void offer(const Endpoint&, const Json& frame) = 0;
@@ -29,32 +29,32 @@
 
 class Outbound {
  public:
-  struct Terms {
+  struct Options {
     std::string zone, caller;  // where this is, and the service that runs on this machine
     double retry_ratio = 0.1, retry_slack = 0;
     Millis retry_window_ms = 10000;
     std::uint32_t seed = 1;
   };
-  Outbound(OutPort& port, TimerQueue& timers, const ClusterState& cluster, Terms terms);
+  Outbound(OutboundPort& port, TimerQueue& timers, const ClusterState& cluster, Options options);
 
   void set_time(Millis now) { now_ = now; }
-  void fleet(std::size_t members) {
-    budget_.set_slack(terms_.retry_slack / double(std::max<std::size_t>(1, members)));
+  void set_node_count(std::size_t nodes) {
+    budget_.set_slack(options_.retry_slack / double(std::max<std::size_t>(1, nodes)));
   }
   // Whether the cluster is known to be the newest: what it does not name does not exist.
-  void sure(bool yes) { sure_ = yes; }
+  void set_state_current(bool current) { state_current_ = current; }
 
-  void call(CallId id, Call c);
+  void start_call(CallId id, Call c);
   void client_gone(CallId id);
-  void frame(const Endpoint& from, const Json& m);
+  void handle_frame(const Endpoint& from, const Json& m);
   // The link to a sidecar has ended; `sent`: what was offered may have arrived.
   void link_down(const Endpoint& at, bool sent);
   // The sidecar at that address ends: nothing is offered to it until its link has ended too.
-  void peer_ending(const Endpoint& at) { ending_peers_.insert(at); }
+  void peer_shutting_down(const Endpoint& at) { shutting_down_peers_.insert(at); }
   // The end of this process: requests that come from now on are refused, and none of them is offered.
-  void stop_taking() { taking_ = false; }
+  void stop_accepting() { accepting_ = false; }
   // Whatever has no answer yet is answered with what is known of it.
-  void give_up();
+  void fail_pending();
   std::size_t open_calls() const { return works_.size(); }
 
  private:
@@ -119,15 +119,15 @@
   bool is_crowded(const Work& w) const;
   std::string draw(const Route& r);
 
-  OutPort& port_;
+  OutboundPort& port_;
   TimerQueue& timers_;
   const ClusterState& cluster_;
-  Terms terms_;
+  Options options_;
   RetryBudget budget_;
   std::mt19937 rng_;
   Millis now_ = 0;
-  bool sure_ = false, taking_ = true;
-  std::set<Endpoint> ending_peers_;
+  bool state_current_ = false, accepting_ = true;
+  std::set<Endpoint> shutting_down_peers_;
   std::map<CallId, Work> works_;
   std::map<std::uint64_t, Attempt> attempts_;
   std::map<InstanceId, Peer> peers_;
--- a/src/sidecar/retry_budget.h
+++ b/src/sidecar/retry_budget.h
@@ -16,12 +16,12 @@
   RetryBudget(double ratio, Millis window_ms) : ratio_(ratio * kRetryBudgetShare), window_ms_(window_ms) {}
   // Of the fleet's slack, what falls to this node.
   void set_slack(double slack) { slack_ = slack * kRetryBudgetShare; }
-  void first(Millis now) {
+  void count_first_attempt(Millis now) {
     ++slot(now).firsts;
     ++firsts_;
   }
   // Whether one more may go to a second database; if so, it is counted.
-  bool spend(Millis now) {
+  bool try_spend(Millis now) {
     Slot& s = slot(now);
     if (double(spent_ + 1) > ratio_ * double(firsts_) + slack_) return false;
     ++s.spent;
--- a/src/sidecar/sidecar.cc
+++ b/src/sidecar/sidecar.cc
@@ -23,13 +23,13 @@
 
 using namespace sidecar;
 
-class Sidecar : public OutPort, public InPort {
+class Sidecar : public OutboundPort, public InboundPort {
  public:
   explicit Sidecar(Settings s)
       : settings_(std::move(s)),
         front_(loop_, {[this](CallId id, Call c) {
                          touch();
-                         out_.call(id, std::move(c));
+                         out_.start_call(id, std::move(c));
                        },
                        [this](CallId id) {
                          touch();
@@ -38,7 +38,7 @@
                        [this]() -> const Limits& { return cluster_.configuration().limits; }}),
         links_(loop_, {[this](const Endpoint& from, const Json& m) {
                          touch();
-                         out_.frame(from, m);
+                         out_.handle_frame(from, m);
                        },
                        [this](const Endpoint& at, bool sent) {
                          touch();
@@ -46,29 +46,29 @@
                        },
                        [this](const Endpoint& at) {
                          log_.say("peer ends: address=" + at.text());
-                         out_.peer_ending(at);
+                         out_.peer_shutting_down(at);
                        },
                        [this](LinkId link, const Json& m) { on_offer(link, m); },
                        [this](LinkId link) {
                          touch();
-                         in_.link_gone(link);
+                         in_.link_closed(link);
                        }}),
         app_(loop_, settings_.app,
              {[this](ConnId id) {
                 touch();
-                in_.server_up(id);
+                in_.app_connection_up(id);
               },
               [this](ConnId id) {
                 touch();
-                in_.server_bytes(id);
+                in_.app_bytes_received(id);
               },
               [this](ConnId id, Reply r, Millis keep) {
                 touch();
-                in_.server_reply(id, std::move(r), keep);
+                in_.app_reply_received(id, std::move(r), keep);
               },
               [this](ConnId id, bool refused) {
                 touch();
-                in_.server_down(id, refused);
+                in_.app_connection_down(id, refused);
               }}),
         out_(*this, loop_.timers(), cluster_,
              {settings_.zone, settings_.target_service, settings_.retry_ratio, settings_.retry_slack,
@@ -129,13 +129,13 @@
     if (link != 0) return links_.reply(link, frame);
     asio::post(loop_.io(), [this, frame] {
       touch();
-      out_.frame(settings_.sidecar_endpoint(), frame);
+      out_.handle_frame(settings_.sidecar_endpoint(), frame);
       loop_.rearm();
     });
   }
-  void open_server(ConnId id) override { app_.open(id); }
-  void to_server(ConnId id, const Call& c) override { app_.send(id, c); }
-  void close_server(ConnId id) override { app_.close(id); }
+  void open_app_connection(ConnId id) override { app_.open(id); }
+  void send_to_app(ConnId id, const Call& c) override { app_.send(id, c); }
+  void close_app_connection(ConnId id) override { app_.close(id); }
 
  private:
   int refuse(const std::string& why) {
@@ -145,16 +145,16 @@
   void touch() {
     Millis now = loop_.now();
     out_.set_time(now);
-    out_.sure(now < lease_until_ && cluster_.sequence() >= lease_number_);
+    out_.set_state_current(now < lease_until_ && cluster_.sequence() >= lease_number_);
     in_.set_time(now);
   }
 
   void on_offer(LinkId link, const Json& m) {
     touch();
-    if (text(m, "t") == "q")
+    if (text_field(m, "t") == "q")
       in_.offer(link, m);
-    else if (text(m, "t") == "x")
-      in_.cancel(link, number(m, "n"));
+    else if (text_field(m, "t") == "x")
+      in_.cancel(link, unsigned_field(m, "n"));
   }
 
   // --- the database's beats -----------------------------------------------------
@@ -165,9 +165,10 @@
     InstanceId id{r.path.substr(prefix.size())};
     touch();
     if (r.method == "DELETE") {
-      if (in_.database() && in_.database()->id == id) in_.database(std::nullopt);
+      if (in_.database() && in_.database()->id == id) in_.set_database(std::nullopt);
       left_ = id;
-      return tell_core({{"t", "leave"}, {"id", id.value}}, id, InstanceHeartbeats::kEnd, std::move(done));
+      return tell_core({{"t", "leave"}, {"id", id.value}}, id, InstanceHeartbeats::kDepartureNumber,
+                       std::move(done));
     }
     if (r.method != "PUT") return done({404, "", {}});
     auto beat = read_instance_heartbeat(id.value, r.body);
@@ -175,7 +176,7 @@
     Instance i = *beat;
     // Others reach it through here.
     i.address = settings_.sidecar_endpoint();
-    if (!(left_ == id)) in_.database(i);
+    if (!(left_ == id)) in_.set_database(i);
     const Instance* known = cluster_.instance(id);
     if (known && known->same_but_calls(i) && now_leased()) return done({200, "", {}});
     tell_core({{"t", "beat"}, {"id", id.value}, {"v", encode_instance(i)}}, id, i.calls, std::move(done));
@@ -186,7 +187,7 @@
   // What the core must know is acknowledged only once it has said so.
   void tell_core(const Json& m, const InstanceId& id, std::uint64_t number, HttpDone done) {
     if (!feed_.up()) return done({503, "", {}});
-    beats_.ask(loop_.now(), id, number, [done](int status) { done({status, "", {}}); });
+    beats_.await_answer(loop_.now(), id, number, [done](int status) { done({status, "", {}}); });
     Json told = m;
     told["calls"] = number;
     feed_.send(told);
@@ -213,15 +214,15 @@
       touch();
       if (!in_.database())  // this process is new, the database is not
         for (auto& [id, i] : cluster_.instances())
-          if (i.address == settings_.sidecar_endpoint() && !(left_ == id)) in_.database(i);
+          if (i.address == settings_.sidecar_endpoint() && !(left_ == id)) in_.set_database(i);
       renew();
     } else if (t == "grant") {
       lease_until_ =
           std::max(lease_until_, m.value("at", Millis(0)) + m.value("ms", Millis(0)) - kClockDriftMarginMs);
       lease_number_ = m.value("k", std::uint64_t(0));
-      out_.fleet(m.value("n", std::size_t(1)));
+      out_.set_node_count(m.value("n", std::size_t(1)));
     } else if (t == "beaten") {
-      beats_.answered({m.value("id", "")}, m.value("calls", std::uint64_t(0)), m.value("s", 503));
+      beats_.on_answer({m.value("id", "")}, m.value("calls", std::uint64_t(0)), m.value("s", 503));
     }
   }
 
@@ -235,17 +236,17 @@
     const ExitSchedule schedule = ExitSchedule::of(settings_.grace_ms);
     const Millis now = loop_.now();
     exit_step(now + schedule.close_idle_after, "stop taking offers", [this] {
-      in_.stop_taking();
-      links_.announce_end();
+      in_.stop_accepting();
+      links_.announce_shutdown();
     });
     exit_step(now + schedule.stop_taking_after, "stop taking requests", [this] {
-      out_.stop_taking();
-      front_.leave();
+      out_.stop_accepting();
+      front_.drain();
       end_if_empty();
     });
     exit_step(now + schedule.give_up_after, "give up", [this] {
-      out_.give_up();
-      in_.give_up();
+      out_.fail_pending();
+      in_.fail_pending();
     });
     exit_step(now + schedule.end_after, "end", [this] { loop_.stop(); });
     loop_.rearm();
@@ -255,13 +256,13 @@
     loop_.timers().at(at, [this, name, step = std::move(step)] {
       touch();
       log_.say("ending: step=" + std::string(name) + " requests=" + std::to_string(out_.open_calls()) +
-               " at_database=" + std::to_string(in_.busy()));
+               " at_database=" + std::to_string(in_.pending_count()));
       step();
     });
   }
 
   void end_if_empty() {
-    if (front_.waiting() == 0 && in_.busy() == 0 && !links_.unsent()) {
+    if (front_.pending_count() == 0 && in_.pending_count() == 0 && !links_.has_unsent()) {
       log_.say("All requests have ended.");
       return loop_.stop();
     }
--- a/tests/sidecar/answers_test.cc
+++ b/tests/sidecar/answers_test.cc
@@ -50,9 +50,9 @@
 TEST(Answers, AreTakenOnlyFromWhereTheyWereAsked) {
   Start s;
   s.ask(1, false);
-  s.out.frame({"10.9.9.9", 7002}, {{"t", "a"}, {"s", 200}, {"n", s.n(0)}});
+  s.out.handle_frame({"10.9.9.9", 7002}, {{"t", "a"}, {"s", 200}, {"n", s.n(0)}});
   EXPECT_EQ(s.status(1), 0) << "an answer of another address, or of a former life's number";
-  s.out.frame(s.offers[0].first, {{"t", "a"}, {"s", 200}, {"n", s.n(0) + 1}});
+  s.out.handle_frame(s.offers[0].first, {{"t", "a"}, {"s", 200}, {"n", s.n(0) + 1}});
   EXPECT_EQ(s.status(1), 0);
   s.say(0, kOk);
   EXPECT_EQ(s.status(1), 200);
@@ -157,22 +157,22 @@
   Beside b;
   b.offer(1, false);
   b.in.cancel(1, 1);  // while its connection is opened
-  b.in.server_up(b.opened[0]);
+  b.in.app_connection_up(b.opened[0]);
   EXPECT_TRUE(b.written.empty());
   b.offer(2, false);
   EXPECT_EQ(b.written.size(), 1u) << "the connection serves the next";
   EXPECT_EQ(b.opened.size(), 1u);
   b.offer(3, false);
-  b.in.server_up(b.opened[1]);
+  b.in.app_connection_up(b.opened[1]);
   b.offer(4, false, "GET", 100);
   b.offer(5, false, "GET", 100);
   b.in.cancel(1, 4);  // out of the queue
-  b.in.link_gone(1);
+  b.in.link_closed(1);
   b.answer(b.written[0].first, "q2");
   b.answer(b.written[1].first, "q3");
   EXPECT_EQ(b.written.size(), 2u) << "held for a link that has ended";
   EXPECT_TRUE(b.replies.empty()) << "said to a caller who has gone";
-  EXPECT_EQ(b.in.busy(), 0u);
+  EXPECT_EQ(b.in.pending_count(), 0u);
 }
 
 TEST(Answers, NothingOfAFormerLifeIsUsedForTheNext) {
@@ -183,9 +183,9 @@
   b.offer(3, false);
   const ConnId opening = b.opened.back();
   b.offer(4, false, "GET", 100);
-  b.in.database(Beside::life("b"));
+  b.in.set_database(Beside::life("b"));
   EXPECT_EQ(b.said(4), "no") << "it waited for the former one";
-  b.in.server_up(opening);
+  b.in.app_connection_up(opening);
   EXPECT_EQ(b.said(3), "no");
   EXPECT_EQ(b.written.size(), 2u);
   b.answer(idle, "q2");  // the former one's last word is its own
@@ -196,8 +196,8 @@
   const ConnId old = c.rested();
   c.offer(2, true);
   ASSERT_EQ(c.written.back().first, old);
-  c.in.database(Beside::life("b"));
-  c.in.server_down(old, false);
+  c.in.set_database(Beside::life("b"));
+  c.in.app_connection_down(old, false);
   EXPECT_EQ(c.said(2), "fail");
   EXPECT_EQ(c.opened.size(), 1u);
 }
@@ -207,7 +207,7 @@
   const ConnId idle = b.rested();
   b.offer(2, false);
   ASSERT_EQ(b.written.back().first, idle);
-  b.in.server_down(idle, false);
+  b.in.app_connection_down(idle, false);
   EXPECT_EQ(b.said(2), "fail") << "may have run";
   EXPECT_EQ(b.opened.size(), 1u) << "not once more";
   // What may run twice goes once more to the same database, and its promise then is none.
@@ -215,13 +215,13 @@
     Beside c;
     const ConnId old = c.rested();
     c.offer(2, true);
-    c.in.server_down(old, false);
+    c.in.app_connection_down(old, false);
     ASSERT_EQ(c.opened.size(), 2u);
-    if (how == 0) c.in.server_down(c.opened[1], true);
+    if (how == 0) c.in.app_connection_down(c.opened[1], true);
     if (how == 1) c.step(600);
-    if (how > 1) c.in.server_up(c.opened[1]);
-    if (how == 2) c.answer(c.opened[1], "q2", 503, {{kNotRunField, "1"}});
-    if (how == 3) c.in.server_down(c.opened[1], false);
+    if (how > 1) c.in.app_connection_up(c.opened[1]);
+    if (how == 2) c.answer(c.opened[1], "q2", 503, {{kNotExecutedField, "1"}});
+    if (how == 3) c.in.app_connection_down(c.opened[1], false);
     EXPECT_EQ(c.said(2), "fail") << how;
     EXPECT_EQ(c.opened.size(), 2u) << "twice at most";
   }
@@ -231,14 +231,14 @@
   Beside b;
   b.offer(1, true);
   b.offer(2, true);
-  for (int i : {0, 1}) b.in.server_up(b.opened[std::size_t(i)]);
+  for (int i : {0, 1}) b.in.app_connection_up(b.opened[std::size_t(i)]);
   for (int i : {0, 1}) b.answer(b.written[std::size_t(i)].first, "q" + std::to_string(i + 1));
   b.step(5);
   b.offer(3, true);
-  b.in.server_down(b.written.back().first, false);
+  b.in.app_connection_down(b.written.back().first, false);
   EXPECT_EQ(b.opened.size(), 3u) << "the other one has rested as long, and may be as dead";
-  b.in.server_up(b.opened[2]);
-  b.in.server_down(b.opened[2], false);
+  b.in.app_connection_up(b.opened[2]);
+  b.in.app_connection_down(b.opened[2], false);
   EXPECT_EQ(b.said(3), "fail");
 }
 
@@ -249,7 +249,7 @@
   b.answer(idle, "q1");  // one too many, late
   EXPECT_EQ(b.said(2), "") << "its own is still due";
   b.answer(idle, "q2");
-  EXPECT_EQ(text(b.replies[2], "b"), "of q2");
+  EXPECT_EQ(text_field(b.replies[2], "b"), "of q2");
   EXPECT_TRUE(b.ended(idle)) << "one that speaks out of turn is not kept";
   struct Case {
     std::string id;
@@ -258,16 +258,17 @@
     const char* said;
     bool promise;
   };
-  for (const Case& c : std::vector<Case>{{"", 200, {{kSealField, "s"}}, "fail", false},
-                                         {"", 503, {{kNotRunField, "1"}}, "a", true},
-                                         {"q2", 503, {{kNotRunField, "1"}}, "a", true},
-                                         {"q2", 503, {}, "a", false},
-                                         {"q2", 421, {}, "a", true},
-                                         {"q2", 200, {}, "fail", false},
-                                         {"q2", 200, {{kSealField, "s"}, {kNotRunField, "1"}}, "a", false},
-                                         {"q2", 0, {{kSealField, "s"}}, "fail", false},
-                                         {"q2", 999, {{kSealField, "s"}}, "fail", false},
-                                         {"q2", 500, {}, "a", false}}) {
+  for (const Case& c :
+       std::vector<Case>{{"", 200, {{kResponseSealField, "s"}}, "fail", false},
+                         {"", 503, {{kNotExecutedField, "1"}}, "a", true},
+                         {"q2", 503, {{kNotExecutedField, "1"}}, "a", true},
+                         {"q2", 503, {}, "a", false},
+                         {"q2", 421, {}, "a", true},
+                         {"q2", 200, {}, "fail", false},
+                         {"q2", 200, {{kResponseSealField, "s"}, {kNotExecutedField, "1"}}, "a", false},
+                         {"q2", 0, {{kResponseSealField, "s"}}, "fail", false},
+                         {"q2", 999, {{kResponseSealField, "s"}}, "fail", false},
+                         {"q2", 500, {}, "a", false}}) {
     SCOPED_TRACE(c.id + " " + std::to_string(c.status));
     Beside x;
     const ConnId conn = x.rested();
@@ -275,7 +276,7 @@
     ASSERT_EQ(x.written.back().first, conn);
     x.answer(conn, c.id, c.status, c.fields);
     EXPECT_EQ(x.said(2), c.said);
-    EXPECT_EQ(flag(x.replies[2], "x"), c.promise);
+    EXPECT_EQ(bool_field(x.replies[2], "x"), c.promise);
     EXPECT_EQ(x.ended(conn), c.id.empty() || std::string(c.said) == "fail");
   }
 }
@@ -283,7 +284,7 @@
 TEST(Answers, AConnectionThatSpeaksUnaskedIsNotUsedAgain) {
   Beside b;
   const ConnId idle = b.rested();
-  b.in.server_bytes(idle);  // the first half of what may look like an answer
+  b.in.app_bytes_received(idle);  // the first half of what may look like an answer
   EXPECT_TRUE(b.ended(idle));
   b.offer(2, false);
   EXPECT_EQ(b.opened.size(), 2u);
@@ -295,7 +296,7 @@
   const ConnId idle = b.rested();
   b.offer(2, true, "HEAD");
   ASSERT_EQ(b.opened.size(), 2u);
-  b.in.server_up(b.opened[1]);
+  b.in.app_connection_up(b.opened[1]);
   b.answer(b.opened[1], "q2");
   EXPECT_TRUE(b.ended(b.opened[1]));
   EXPECT_FALSE(b.ended(idle));
@@ -306,24 +307,24 @@
   b.offer(1, false);
   b.step(500);  // its connection never came up
   EXPECT_EQ(b.said(1), "no");
-  b.in.server_up(b.opened[0]);
+  b.in.app_connection_up(b.opened[0]);
   EXPECT_TRUE(b.written.empty());
   b.offer(2, false);
-  b.in.server_up(b.opened[1]);
+  b.in.app_connection_up(b.opened[1]);
   b.step(500);
   EXPECT_EQ(b.said(2), "fail");
 }
 
 TEST(Answers, TheMoreUrgentIsServedFirstWhereAimsAreAlike) {
   Beside b;
-  b.in.database(Beside::life("a", 1));
+  b.in.set_database(Beside::life("a", 1));
   b.offer(1, false);
-  b.in.server_up(b.opened[0]);
+  b.in.app_connection_up(b.opened[0]);
   b.offer(2, false, "GET", 100, 3);
   b.offer(3, false, "GET", 100, 0);
   b.answer(b.opened[0], "q1");
   ASSERT_EQ(b.written.size(), 2u);
-  EXPECT_EQ(*find_field(b.written[1].second.fields, kIdField), "q3");
+  EXPECT_EQ(*find_field(b.written[1].second.fields, kRequestIdField), "q3");
 }
 
 // --- beats ------------------------------------------------------------------------
@@ -333,15 +334,15 @@
   InstanceHeartbeats beats(timers);
   std::vector<std::pair<std::string, int>> done;
   auto to = [&](const char* who) { return [&done, who](int status) { done.emplace_back(who, status); }; };
-  beats.ask(0, {"a"}, 0, to("beat"));
-  beats.ask(0, {"a"}, InstanceHeartbeats::kEnd, to("end"));
-  beats.answered({"a"}, 0, 200);
-  beats.answered({"a"}, 0, 200);  // relayed again
+  beats.await_answer(0, {"a"}, 0, to("beat"));
+  beats.await_answer(0, {"a"}, InstanceHeartbeats::kDepartureNumber, to("end"));
+  beats.on_answer({"a"}, 0, 200);
+  beats.on_answer({"a"}, 0, 200);  // relayed again
   EXPECT_EQ(done, (std::vector<std::pair<std::string, int>>{{"beat", 200}}));
-  beats.ask(500, {"a"}, InstanceHeartbeats::kEnd, to("end again"));
-  timers.run(kHeartbeatAnswerMs);  // the first one's time is up, the second one's is not
+  beats.await_answer(500, {"a"}, InstanceHeartbeats::kDepartureNumber, to("end again"));
+  timers.run(kHeartbeatTimeoutMs);  // the first one's time is up, the second one's is not
   EXPECT_EQ(done.back(), (std::pair<std::string, int>{"end", 503}));
-  beats.answered({"a"}, InstanceHeartbeats::kEnd, 200);
+  beats.on_answer({"a"}, InstanceHeartbeats::kDepartureNumber, 200);
   EXPECT_EQ(done.back(), (std::pair<std::string, int>{"end again", 200}));
 }
 
@@ -351,22 +352,22 @@
     Beside b;
     b.offer(1, true);
     b.offer(2, false);
-    for (auto conn : b.opened) b.in.server_up(conn);
+    for (auto conn : b.opened) b.in.app_connection_up(conn);
     const ConnId safe = b.opened.at(0), once = b.opened.at(1);
     if (by_link) {
-      b.in.link_gone(1);
+      b.in.link_closed(1);
     } else {
       b.in.cancel(1, 1);
       b.in.cancel(1, 2);
     }
-    b.step(kAbandonedRequestMs - 1);
+    b.step(kAbandonedRequestLimitMs - 1);
     EXPECT_FALSE(b.ended(safe)) << "most end soon, and the connection is kept";
     b.in.cancel(1, 1);  // told twice: the time runs from the first
     b.step(1);
     EXPECT_TRUE(b.ended(safe));
     EXPECT_FALSE(b.ended(once)) << "what may not run twice has its whole time";
-    EXPECT_EQ(b.in.busy(), 1u);
-    b.in.server_reply(safe, {200, "late", {{kSealField, "s"}, {kIdField, "q1"}}}, 0);
+    EXPECT_EQ(b.in.pending_count(), 1u);
+    b.in.app_reply_received(safe, {200, "late", {{kResponseSealField, "s"}, {kRequestIdField, "q1"}}}, 0);
     EXPECT_EQ(b.said(1), "");
   }
 }
--- a/tests/sidecar/exit_test.cc
+++ b/tests/sidecar/exit_test.cc
@@ -9,7 +9,7 @@
 TEST(SidecarExit, ARequestThatComesLateIsRefusedAndOfferedToNobody) {
   Start s;
   s.ask(1, true);
-  s.out.stop_taking();
+  s.out.stop_accepting();
   s.ask(2, true);
   EXPECT_EQ(s.status(2), 503) << "a promise: its client goes to another machine";
   EXPECT_EQ(s.offers.size(), 1u);
@@ -21,7 +21,7 @@
 TEST(SidecarExit, WhatWasTakenInTimeMayStillBeTriedElsewhere) {
   Start s;
   s.ask(1, false);
-  s.out.stop_taking();
+  s.out.stop_accepting();
   s.say(0, kGone);
   ASSERT_EQ(s.offers.size(), 2u);
   s.say(1, kOk);
@@ -34,8 +34,8 @@
   s.ask(1, false);
   s.ask(2, false);
   s.held = {s.n(0)};
-  s.out.stop_taking();
-  s.out.give_up();
+  s.out.stop_accepting();
+  s.out.fail_pending();
   EXPECT_EQ(s.status(1), 503) << "it never left";
   EXPECT_EQ(s.status(2), 502) << "it may run yet";
   EXPECT_EQ(s.withdrawn.size(), 2u);
@@ -46,7 +46,7 @@
   Start s;
   s.ask(1, false);
   const Endpoint ending = s.offers.at(0).first;
-  s.out.peer_ending(ending);
+  s.out.peer_shutting_down(ending);
   for (CallId id = 2; id <= 60; ++id) s.ask(id, false);
   const auto offered = [&] {
     return std::count_if(s.offers.begin() + 1, s.offers.end(),
@@ -64,15 +64,15 @@
 TEST(SidecarExit, OffersThatComeLateAreTurnedAwayAndWhatRunsIsAnswered) {
   Beside b;
   b.offer(1, false);
-  b.in.server_up(b.opened.at(0));
-  b.in.stop_taking();
+  b.in.app_connection_up(b.opened.at(0));
+  b.in.stop_accepting();
   b.offer(2, false);
   EXPECT_EQ(b.said(2), "no");
   EXPECT_EQ(b.replies[2]["y"], "gone");
-  EXPECT_EQ(b.in.busy(), 1u);
+  EXPECT_EQ(b.in.pending_count(), 1u);
   b.answer(b.opened.at(0), "q1");
   EXPECT_EQ(b.said(1), "a");
-  EXPECT_EQ(b.in.busy(), 0u);
+  EXPECT_EQ(b.in.pending_count(), 0u);
 }
 
 TEST(SidecarExit, OffersThatAreGivenUpAreToldOf) {
@@ -80,14 +80,14 @@
   b.offer(1, false);
   b.offer(2, false);
   b.offer(3, false, "GET", 200);
-  b.in.server_up(b.opened.at(0));
-  b.in.stop_taking();
-  b.in.give_up();
+  b.in.app_connection_up(b.opened.at(0));
+  b.in.stop_accepting();
+  b.in.fail_pending();
   EXPECT_EQ(b.said(1), "fail") << "it may have run";
   EXPECT_EQ(b.said(2), "no") << "its connection was not up";
   EXPECT_EQ(b.said(3), "no") << "it waited";
   EXPECT_TRUE(b.ended(b.opened.at(0)));
-  EXPECT_EQ(b.in.busy(), 0u);
+  EXPECT_EQ(b.in.pending_count(), 0u);
   b.step(1000);
 }
 
--- a/tests/sidecar/inbound_test.cc
+++ b/tests/sidecar/inbound_test.cc
@@ -16,20 +16,24 @@
                          {"i", "a"},
                          {"m", "GET"},
                          {"u", "/s/safe/x"},
-                         {"h", fields_json({{kIdField, "q" + std::to_string(n)}})},
+                         {"h", fields_to_json({{kRequestIdField, "q" + std::to_string(n)}})},
                          {"d", kDeadlineMs},
                          {"w", wait},
                          {"a", until_aim},
                          {"s", true},
                          {"c", "caller"}});
     if (!beside_.opened.empty() && up_.insert(beside_.opened.back()).second)
-      beside_.in.server_up(beside_.opened.back());
+      beside_.in.app_connection_up(beside_.opened.back());
   }
   // The oldest that runs ends.
   void end_one(int status = 200) {
     const auto [conn, call] = beside_.written.at(ended_++);
-    beside_.in.server_reply(
-        conn, {status, "b", {{kIdField, *find_field(call.fields, kIdField)}, {kSealField, "s"}}}, 10000);
+    beside_.in.app_reply_received(
+        conn,
+        {status,
+         "b",
+         {{kRequestIdField, *find_field(call.fields, kRequestIdField)}, {kResponseSealField, "s"}}},
+        10000);
   }
   // Both slots are taken, and requests are known to take kWorkMs.
   void fill() {
@@ -40,7 +44,7 @@
     offer(3, 0);
   }
   std::string refusal(std::uint64_t n) const {
-    return beside_.replies.count(n) ? text(beside_.replies.at(n), "y") : "";
+    return beside_.replies.count(n) ? text_field(beside_.replies.at(n), "y") : "";
   }
 
   Beside beside_;
@@ -55,21 +59,21 @@
   offer(10, kWorkMs, 4 * kWorkMs);
   EXPECT_EQ(refusal(10), "");
   end_one();
-  EXPECT_EQ(*find_field(beside_.written.back().second.fields, kIdField), "q10");
+  EXPECT_EQ(*find_field(beside_.written.back().second.fields, kRequestIdField), "q10");
 }
 
 TEST_F(Admission, WhatCouldNotEndWithinItsAimIsRefusedAtOnce) {
   fill();
   offer(4, kAimMs, kWorkMs);
   EXPECT_EQ(refusal(4), "full");
-  EXPECT_TRUE(flag(beside_.replies.at(4), "w")) << "it is not offered elsewhere to wait there";
+  EXPECT_TRUE(bool_field(beside_.replies.at(4), "w")) << "it is not offered elsewhere to wait there";
 }
 
 TEST_F(Admission, ErrorsOfADatabasesOwnDoNotCloseItOff) {
   for (std::uint64_t n = 1; n <= 4 * kFailuresUntilDown; ++n) {
     offer(n, 0);
     end_one(500);
-    ASSERT_EQ(text(beside_.replies.at(n), "t"), "a") << n;
+    ASSERT_EQ(text_field(beside_.replies.at(n), "t"), "a") << n;
   }
   EXPECT_GT(beside_.replies.at(4 * kFailuresUntilDown).at("l").at(3).get<int>(), 50) << "others know of it";
 }
--- a/tests/sidecar/mesh_cluster.h
+++ b/tests/sidecar/mesh_cluster.h
@@ -83,7 +83,7 @@
   std::deque<std::pair<Millis, std::string>> out;                      // to the sidecar; empty bytes: reset
 };
 
-struct Ship : OutPort, InPort {
+struct Ship : OutboundPort, InboundPort {
   World& w;
   int no;
   std::uint64_t life;
@@ -108,9 +108,9 @@
   void connect(const Endpoint& to) override;
   bool withdraw(const Endpoint& to, std::uint64_t n) override;
   void reply(LinkId link, const Json& frame) override;
-  void open_server(ConnId id) override;
-  void to_server(ConnId id, const Call& c) override;
-  void close_server(ConnId id) override;
+  void open_app_connection(ConnId id) override;
+  void send_to_app(ConnId id, const Call& c) override;
+  void close_app_connection(ConnId id) override;
   void lost(ConnId id);  // the database has ended the connection
   void client_bytes(const std::shared_ptr<ClientConn>& c, std::string_view bytes);
   void to_client(const std::shared_ptr<ClientConn>& c, const std::string& bytes);
@@ -178,8 +178,8 @@
       in(*this, timers) {
   cluster.apply(w.number, w.rows);
   set_time();
-  out.fleet(kShips);
-  out.sure(true);
+  out.set_node_count(kShips);
+  out.set_state_current(true);
 }
 
 // --- clients ------------------------------------------------------------------
@@ -191,7 +191,7 @@
   for (auto& a : got) calls[a.id] = c;
   to_client(c, written);
   for (auto& a : got)
-    if (calls.count(a.id)) out.call(a.id, std::move(a.call));
+    if (calls.count(a.id)) out.start_call(a.id, std::move(a.call));
 }
 
 inline void Ship::answer(CallId id, Reply r) {
@@ -217,7 +217,7 @@
     c->asked.pop_front();
     ++t.answers;
     t.status = m.status;
-    auto* named = find_field(m.fields, kIdField);
+    auto* named = find_field(m.fields, kRequestIdField);
     ASSERT_TRUE(!named || *named == id) << "the answer to another request";
     if (auto* run = find_field(m.fields, "X-Run")) {
       const Run& r = w.runs[std::size_t(std::stoi(*run))];
@@ -228,7 +228,7 @@
       ASSERT_TRUE(m.body.empty()) << "a body of nobody's";
       ASSERT_GE(m.status, 400);
     }
-    ASSERT_TRUE(m.status != 200 || find_field(m.fields, kSealField));
+    ASSERT_TRUE(m.status != 200 || find_field(m.fields, kResponseSealField));
     for (int s : {408, 421, 429, 503}) t.promised = t.promised || m.status == s;
     for (auto& x : t.writings)
       ASSERT_TRUE(x.denied || !t.promised) << id << " is promised not to run, but was written";
@@ -239,14 +239,14 @@
     // What was sent behind it counts as not read, and is sent again whatever its kind.
     for (auto& rest : c->asked) w.tries[rest].promised = true;
   }
-  if (c->line.over()) c->closed = true;
+  if (c->line.is_finished()) c->closed = true;
 }
 
 inline void Ship::client_leaves(const std::shared_ptr<ClientConn>& c) {
   c->closed = true;
   for (auto& id : c->asked) w.tries[id].gone = true;
   set_time();
-  for (auto id : c->line.open())
+  for (auto id : c->line.unanswered())
     if (calls.erase(id)) out.client_gone(id);
 }
 
@@ -269,8 +269,8 @@
   if (!t.safe) t.body = "body of " + id + std::string(std::size_t(pick(200)), 'b');
   t.ship = n;
   t.began = now;
-  std::string bytes = t.method + " " + t.path + " HTTP/1.1\r\nHost: h\r\n" + kIdField + ": " + id + "\r\n" +
-                      kDeadlineField + ": " + std::to_string(60 + pick(400)) + "\r\n";
+  std::string bytes = t.method + " " + t.path + " HTTP/1.1\r\nHost: h\r\n" + kRequestIdField + ": " + id +
+                      "\r\n" + kDeadlineField + ": " + std::to_string(60 + pick(400)) + "\r\n";
   if (chance(0.02)) bytes += "Connection: close\r\n";
   if (t.body.empty()) {
     bytes += "\r\n";
@@ -312,20 +312,20 @@
   const int peer = World::of(to);
   if (peer == no) {  // this machine's own half
     auto l = life;
-    w.later(0, [this, &world = w, n = no, l, bytes = packed(frame)] {
+    w.later(0, [this, &world = w, n = no, l, bytes = encode_frame(frame)] {
       if (world.lives[std::size_t(n)] != l) return;
       set_time();
-      auto m = unpacked(bytes);
-      text(*m, "t") == "q" ? in.offer(0, *m) : in.cancel(0, sidecar::number(*m, "n"));
+      auto m = decode_frame(bytes);
+      text_field(*m, "t") == "q" ? in.offer(0, *m) : in.cancel(0, sidecar::unsigned_field(*m, "n"));
     });
     return;
   }
   connect(to);
   auto& l = links[to];
   if (!l->up)
-    l->held.emplace_back(sidecar::number(frame, "n"), packed(frame));
+    l->held.emplace_back(sidecar::unsigned_field(frame, "n"), encode_frame(frame));
   else
-    l->ahead.emplace_back(w.now + 1 + w.pick(2), packed(frame));
+    l->ahead.emplace_back(w.now + 1 + w.pick(2), encode_frame(frame));
 }
 
 inline bool Ship::is_linked(const Endpoint& to) {
@@ -359,16 +359,16 @@
 inline void Ship::reply(LinkId link, const Json& frame) {
   if (link == 0) {
     auto l = life;
-    w.later(0, [this, &world = w, n = no, l, bytes = packed(frame)] {
+    w.later(0, [this, &world = w, n = no, l, bytes = encode_frame(frame)] {
       if (world.lives[std::size_t(n)] != l) return;
       set_time();
-      out.frame(World::where(no), *unpacked(bytes));
+      out.handle_frame(World::where(no), *decode_frame(bytes));
     });
     return;
   }
   for (auto& l : w.links)
     if (l->to == no && l->to_life == life && l->id == link && l->in_open)
-      l->back.emplace_back(w.now + 1 + w.pick(2), packed(frame));
+      l->back.emplace_back(w.now + 1 + w.pick(2), encode_frame(frame));
 }
 
 inline void World::dial_done(const std::shared_ptr<Link>& l) {
@@ -399,7 +399,7 @@
   if (!std::exchange(l->in_open, false)) return;
   Ship& to = *ships[std::size_t(l->to)];
   to.set_time();
-  to.in.link_gone(l->id);
+  to.in.link_closed(l->id);
 }
 
 // Both ends hear of it in their own time; what was on its way may still arrive, or not.
@@ -422,18 +422,19 @@
       continue;
     }
     while (l->in_open && !l->ahead.empty() && l->ahead.front().first <= now) {
-      auto m = unpacked(l->ahead.front().second);
+      auto m = decode_frame(l->ahead.front().second);
       l->ahead.pop_front();
       Ship& to = *ships[std::size_t(l->to)];
       to.set_time();
-      text(*m, "t") == "q" ? to.in.offer(l->id, *m) : to.in.cancel(l->id, sidecar::number(*m, "n"));
+      text_field(*m, "t") == "q" ? to.in.offer(l->id, *m)
+                                 : to.in.cancel(l->id, sidecar::unsigned_field(*m, "n"));
     }
     while (l->out_open && !l->back.empty() && l->back.front().first <= now) {
-      auto m = unpacked(l->back.front().second);
+      auto m = decode_frame(l->back.front().second);
       l->back.pop_front();
       Ship& from = *ships[std::size_t(l->from)];
       from.set_time();
-      from.out.frame(l->at, *m);
+      from.out.handle_frame(l->at, *m);
     }
     if (!l->out_open && l->in_open && chance(0.02)) end_in(l);
     if (l->out_open && !l->in_open && chance(0.1)) end_out(l);
--- a/tests/sidecar/outbound_test.cc
+++ b/tests/sidecar/outbound_test.cc
@@ -115,7 +115,7 @@
     for (auto& at : all_)
       if (at != full) caller_.unlinked.insert(at);
     ASSERT_EQ(ask_many(), std::set<Endpoint>{full}) << queued;
-    EXPECT_EQ(sidecar::number(caller_.offers.back().second, "w"), 0u) << "it counts as full still";
+    EXPECT_EQ(sidecar::unsigned_field(caller_.offers.back().second, "w"), 0u) << "it counts as full still";
     caller_.unlinked.clear();
   }
 }
@@ -127,7 +127,7 @@
   const std::size_t before = caller_.offers.size();
   caller_.ask(++last_, true);
   ASSERT_EQ(caller_.offers.size(), before + 1);
-  EXPECT_GT(sidecar::number(caller_.offers.back().second, "w"), 0u);
+  EXPECT_GT(sidecar::unsigned_field(caller_.offers.back().second, "w"), 0u);
 }
 
 }  // namespace
--- a/tests/sidecar/overload_test.cc
+++ b/tests/sidecar/overload_test.cc
@@ -30,7 +30,7 @@
 
 class Simulation;
 
-class Machine : public OutPort, public InPort {
+class Machine : public OutboundPort, public InboundPort {
  public:
   Machine(Simulation& simulation, int number);
   void call(CallId id, const std::string& request_id, bool front);
@@ -42,9 +42,9 @@
   void offer(const Endpoint& at, const Json& frame) override;
   bool withdraw(const Endpoint& at, std::uint64_t number) override;
   void reply(LinkId link, const Json& frame) override;
-  void open_server(ConnId id) override;
-  void to_server(ConnId id, const Call& call) override;
-  void close_server(ConnId id) override { open_.erase(id); }
+  void open_app_connection(ConnId id) override;
+  void send_to_app(ConnId id, const Call& call) override;
+  void close_app_connection(ConnId id) override { open_.erase(id); }
 
   TimerQueue timers;
   ClusterState cluster;
@@ -81,7 +81,7 @@
       rows.push_back({instance_key(instance.id), encode_instance(instance), 1, false});
     }
     for (int i = 0; i < kMachines; ++i) machines.push_back(std::make_unique<Machine>(*this, i));
-    for (int i = 0; i < kMachines; ++i) machines[std::size_t(i)]->in.database(instance_of(i));
+    for (int i = 0; i < kMachines; ++i) machines[std::size_t(i)]->in.set_database(instance_of(i));
   }
   static Json route(const std::string& service, Millis timeout, Millis aim) {
     return {{"Name", service},          {"Hostname", "h"},       {"PathPrefix", "/" + service + "/"},
@@ -175,7 +175,7 @@
   }
   void bring_back(int number) {
     machines[std::size_t(number)] = std::make_unique<Machine>(*this, number);
-    machines[std::size_t(number)]->in.database(instance_of(number));
+    machines[std::size_t(number)]->in.set_database(instance_of(number));
   }
 
   std::mt19937 random;
@@ -202,8 +202,8 @@
       number_(number) {
   cluster.apply(1, simulation.rows);
   set_time();
-  out.fleet(kMachines);
-  out.sure(true);
+  out.set_node_count(kMachines);
+  out.set_state_current(true);
 }
 
 void Machine::set_time() {
@@ -213,7 +213,8 @@
 
 void Machine::call(CallId id, const std::string& request_id, bool front) {
   set_time();
-  out.call(id, {"GET", front ? "/front/x" : "/back/x", "", {{"Host", "h"}, {kIdField, request_id}}});
+  out.start_call(id,
+                 {"GET", front ? "/front/x" : "/back/x", "", {{"Host", "h"}, {kRequestIdField, request_id}}});
 }
 
 void Machine::answer(CallId id, Reply reply) {
@@ -234,7 +235,7 @@
 void Machine::connect(const Endpoint& at) {
   if (is_linked(at) || !dialling.insert(at).second) return;
   const bool succeeds = simulation_.machines[std::size_t(Simulation::machine_at(at))]->alive;
-  simulation_.later(double(succeeds ? 2 * kLinkMs : kPeerConnectMs), [this, at, succeeds] {
+  simulation_.later(double(succeeds ? 2 * kLinkMs : kPeerConnectTimeoutMs), [this, at, succeeds] {
     dialling.erase(at);
     set_time();
     if (succeeds)
@@ -247,7 +248,7 @@
 void Machine::offer(const Endpoint& at, const Json& frame) {
   connect(at);
   const int to = Simulation::machine_at(at);
-  const double bytes_out = double(packed(frame).size());
+  const double bytes_out = double(encode_frame(frame).size());
   const double delay = to == number_ ? 0 : simulation_.through_link(number_, std::size_t(bytes_out));
   simulation_.later(delay, [this, to, frame, bytes_out] {
     const double arrival = to == number_ ? 0 : simulation_.through_link(to, std::size_t(bytes_out)) + kLinkMs;
@@ -255,10 +256,10 @@
       Machine& peer = *simulation_.machines[std::size_t(to)];
       if (!peer.alive) return;
       peer.set_time();
-      if (text(frame, "t") == "q")
+      if (text_field(frame, "t") == "q")
         peer.in.offer(LinkId(number_ + 1), frame);
       else
-        peer.in.cancel(LinkId(number_ + 1), sidecar::number(frame, "n"));
+        peer.in.cancel(LinkId(number_ + 1), sidecar::unsigned_field(frame, "n"));
     });
   });
 }
@@ -270,7 +271,7 @@
 
 void Machine::reply(LinkId link, const Json& frame) {
   const int to = int(link) - 1;
-  const std::size_t bytes = packed(frame).size();
+  const std::size_t bytes = encode_frame(frame).size();
   const double delay = to == number_ ? 0 : simulation_.through_link(number_, bytes);
   simulation_.later(delay, [this, to, frame, bytes] {
     const double arrival = to == number_ ? 0 : simulation_.through_link(to, bytes) + kLinkMs;
@@ -278,23 +279,23 @@
       Machine& peer = *simulation_.machines[std::size_t(to)];
       if (!peer.alive) return;
       peer.set_time();
-      peer.out.frame(Simulation::address_of(number_), frame);
+      peer.out.handle_frame(Simulation::address_of(number_), frame);
     });
   });
 }
 
-void Machine::open_server(ConnId id) {
+void Machine::open_app_connection(ConnId id) {
   open_.insert(id);
   simulation_.later(1, [this, id] {
     if (open_.count(id) == 0) return;
     set_time();
-    in.server_up(id);
+    in.app_connection_up(id);
   });
 }
 
 // A database of the front service asks one of the back service at the end of its work.
-void Machine::to_server(ConnId id, const Call& call) {
-  const std::string request_id = *find_field(call.fields, kIdField);
+void Machine::send_to_app(ConnId id, const Call& call) {
+  const std::string request_id = *find_field(call.fields, kRequestIdField);
   const bool front = Simulation::is_front(number_);
   const double work_ms = simulation_.draw_work(front ? kFrontWorkMs : kBackWorkMs);
   simulation_.later(work_ms, [this, id, request_id, front] {
@@ -311,7 +312,8 @@
 void Machine::work_done(ConnId id, const std::string& request_id, int status) {
   if (!alive || open_.count(id) == 0) return;
   set_time();
-  in.server_reply(id, {status, std::string(400, 'b'), {{kIdField, request_id}, {kSealField, "s"}}}, 10000);
+  in.app_reply_received(
+      id, {status, std::string(400, 'b'), {{kRequestIdField, request_id}, {kResponseSealField, "s"}}}, 10000);
 }
 
 TEST(Overload, GoodputHoldsUnderFourTimesOfWhatCanBeServed) {
--- a/tests/sidecar/scripted_databases.h
+++ b/tests/sidecar/scripted_databases.h
@@ -7,7 +7,7 @@
 
 // --- databases ----------------------------------------------------------------
 
-inline void Ship::open_server(ConnId id) {
+inline void Ship::open_app_connection(ConnId id) {
   auto c = std::make_shared<DatabaseConn>();
   c->serial = ++w.dialled;
   conns[id] = c;
@@ -16,15 +16,15 @@
     set_time();
     if (world.database[std::size_t(n)].empty()) {
       conns.erase(id);
-      return in.server_down(id, true);
+      return in.app_connection_down(id, true);
     }
     c->up = true;
     c->life = world.database[std::size_t(n)];
-    in.server_up(id);
+    in.app_connection_up(id);
   });
 }
 
-inline void Ship::close_server(ConnId id) {
+inline void Ship::close_app_connection(ConnId id) {
   auto it = conns.find(id);
   if (it == conns.end()) return;
   for (int r : it->second->runs) w.runs[std::size_t(r)].broken_off = true;
@@ -33,19 +33,20 @@
 
 inline void Ship::lost(ConnId id) {
   if (!conns.count(id)) return;
-  close_server(id);
+  close_app_connection(id);
   set_time();
-  in.server_down(id, false);
+  in.app_connection_down(id, false);
 }
 
-inline void Ship::to_server(ConnId id, const Call& c) {
+inline void Ship::send_to_app(ConnId id, const Call& c) {
   auto conn = conns.at(id);
   // Another database that answers at its address turns it away: it has not come there.
-  const std::string tried = *find_field(c.fields, kIdField), life_meant = *find_field(c.fields, kTargetField);
+  const std::string tried = *find_field(c.fields, kRequestIdField),
+                    life_meant = *find_field(c.fields, kTargetInstanceField);
   Try& t = w.tries[tried];
   ASSERT_TRUE(t.whole) << tried << " is written before it was read whole";
   ASSERT_EQ(c.method + c.target + c.body, t.method + t.path + t.body) << "a changed request";
-  ASSERT_EQ(count_fields(c.fields, kIdField), 1u);
+  ASSERT_EQ(count_fields(c.fields, kRequestIdField), 1u);
   ASSERT_FALSE(t.promised) << tried << " is written after the promise that it never will run";
   for (auto& x : t.writings)
     ASSERT_TRUE(t.safe || x.denied) << tried << " is written twice, and may have run before";
@@ -55,9 +56,9 @@
   std::set<std::string> where;
   for (auto& x : t.writings) where.insert(x.life);
   ASSERT_LE(where.size(), 2u) << tried << " comes to more databases than its route allows";
-  conn->reader.asked(c.method == "HEAD");
+  conn->reader.request_sent(c.method == "HEAD");
   conn->carries = tried;
-  const std::string bytes = request_bytes(c);
+  const std::string bytes = serialize_request(c);
   // Half of it may be all that arrives.
   const std::size_t upto = w.chance(0.01) ? std::size_t(w.pick(int(bytes.size()))) : bytes.size();
   w.later(1, [this, &world = w, n = no, l = life, id, conn, part = bytes.substr(0, upto),
@@ -84,26 +85,26 @@
 
 inline void World::arrive(Ship& s, ConnId conn, const HttpMessage& m) {
   auto it = s.conns.find(conn);
-  const std::string id = *find_field(m.fields, kIdField), life = database[std::size_t(s.no)];
+  const std::string id = *find_field(m.fields, kRequestIdField), life = database[std::size_t(s.no)];
   Try& t = tries[id];
   if (it == s.conns.end()) {  // closed meanwhile: it may run all the same
-    if (!life.empty() && *find_field(m.fields, kTargetField) == life && chance(0.4)) ++t.runs;
+    if (!life.empty() && *find_field(m.fields, kTargetInstanceField) == life && chance(0.4)) ++t.runs;
     return;
   }
   DatabaseConn& c = *it->second;
   if (c.life != life) return say(c, 0, "");  // of a life that has ended
   auto message = [](int status, const HttpFields& fields, const std::string& body, bool bodied) {
-    return reply_bytes({status, body, fields}, false, !bodied);
+    return serialize_reply({status, body, fields}, false, !bodied);
   };
   const bool bodied = m.method != "HEAD";
-  const HttpFields named{{kIdField, id}};
-  if (*find_field(m.fields, kTargetField) != life)
+  const HttpFields named{{kRequestIdField, id}};
+  if (*find_field(m.fields, kTargetInstanceField) != life)
     return say(c, 1, message(421, chance(0.5) ? named : HttpFields{}, "", true));
   int trouble = chance(bad[std::size_t(s.no)]) ? 1 + pick(20) : 0;
   if (trouble == 1) return say(c, pick(3), "");
   if (trouble == 2 || trouble == 3) {
     HttpFields f = trouble == 2 ? named : HttpFields{};
-    f.emplace_back(kNotRunField, "1");
+    f.emplace_back(kNotExecutedField, "1");
     return say(c, 1 + pick(20), message(trouble == 2 ? 503 : 429, f, "", true));
   }
   ASSERT_EQ(life_service[life], t.service) << "it runs at another service";
@@ -114,15 +115,15 @@
   c.runs.push_back(run);
   HttpFields f = named;
   f.emplace_back("X-Run", std::to_string(run));
-  if (trouble != 4) f.emplace_back(kSealField, "seal");
-  if (trouble == 5) std::erase_if(f, [](auto& x) { return x.first == kIdField; });
+  if (trouble != 4) f.emplace_back(kResponseSealField, "seal");
+  if (trouble == 5) std::erase_if(f, [](auto& x) { return x.first == kRequestIdField; });
   const std::string whole = message(trouble == 6 ? 500 : 200, f, bodied ? runs.back().body : "", bodied);
   const Millis takes = 2 + pick(15) + (chance(0.02) ? 200 : 0) + (trouble == 7 ? 350 : 0);
   if (trouble == 8) return;  // mute
   if (trouble == 9) return say(c, takes, "");
   if (trouble == 10) say(c, 1, "HTTP/1.1 100 Continue\r\n\r\n");
   if (trouble == 11 && !c.before.empty())  // one answer too many, of one before
-    say(c, 1, message(200, {{kIdField, c.before.back()}, {kSealField, "x"}}, "late", true));
+    say(c, 1, message(200, {{kRequestIdField, c.before.back()}, {kResponseSealField, "x"}}, "late", true));
   if (trouble == 12) {
     say(c, takes, whole.substr(0, std::size_t(pick(int(whole.size())))));
     return say(c, pick(20), "");
@@ -130,12 +131,12 @@
   if (trouble == 13) return say(c, takes, "\x01\x02 no answer\r\n\r\n");
   if (trouble == 14)
     return say(c, takes,
-               "HTTP/1.1 000 OK\r\nX-Pebblespindle-Response-Seal: s\r\n" + std::string(kIdField) + ": " + id +
-                   "\r\nContent-Length: 0\r\n\r\n");
+               "HTTP/1.1 000 OK\r\nX-Pebblespindle-Response-Seal: s\r\n" + std::string(kRequestIdField) +
+                   ": " + id + "\r\nContent-Length: 0\r\n\r\n");
   say(c, takes, whole);
   if (trouble == 15) say(c, pick(2) * pick(30), whole);  // twice
   if (trouble == 16) say(c, pick(30), whole.substr(0, whole.size() / 2));
-  if (trouble == 17) say(c, pick(30), message(200, {{kSealField, "x"}}, "of nobody", true));
+  if (trouble == 17) say(c, pick(30), message(200, {{kResponseSealField, "x"}}, "of nobody", true));
   if (trouble == 18) say(c, pick(30), "");
   if (trouble == 19) say(c, 0, "excess");
   c.before.push_back(id);
@@ -156,20 +157,20 @@
         break;
       }
       s.set_time();
-      s.in.server_bytes(id);
+      s.in.app_bytes_received(id);
       if (!s.conns.count(id)) break;
-      std::vector<AppResponseReader::Answer> answers;
+      std::vector<AppResponseReader::Response> answers;
       bool fine = c->reader.feed(bytes, answers);
       for (auto& a : answers) {
         if (!s.conns.count(id)) break;
-        auto* of = find_field(a.reply.fields, kIdField);
+        auto* of = find_field(a.reply.fields, kRequestIdField);
         if (auto* run = find_field(a.reply.fields, "X-Run")) std::erase(c->runs, std::stoi(*run));
-        const bool no = a.reply.status == 421 || find_field(a.reply.fields, kNotRunField);
+        const bool no = a.reply.status == 421 || find_field(a.reply.fields, kNotExecutedField);
         if (no && (of ? tries.count(*of) : !c->carries.empty())) {
           auto& list = tries[of ? *of : c->carries].writings;
           for (auto& x : list) x.denied = x.denied || x.conn == c->serial;
         }
-        s.in.server_reply(id, std::move(a.reply), a.keep_ms);
+        s.in.app_reply_received(id, std::move(a.reply), a.keep_alive_ms);
       }
       if (!fine && s.conns.count(id)) s.lost(id);
     }
@@ -197,14 +198,14 @@
   auto& s = ships[std::size_t(i)];
   if (!s || database[std::size_t(i)].empty()) return;
   s->set_time();
-  s->in.database(Instance{{database[std::size_t(i)]},
-                          service[std::size_t(i)],
-                          "z" + std::to_string(i % 2),
-                          where(i),
-                          kDatabaseSlots,
-                          false,
-                          false,
-                          1});
+  s->in.set_database(Instance{{database[std::size_t(i)]},
+                              service[std::size_t(i)],
+                              "z" + std::to_string(i % 2),
+                              where(i),
+                              kDatabaseSlots,
+                              false,
+                              false,
+                              1});
 }
 
 // A process is killed; another starts at its address a moment later, perhaps for another database.
@@ -258,7 +259,7 @@
   }
   if (s && chance(0.001)) {  // it is asked to end, and ends
     s->leaving = true;
-    for (auto& c : s->clients) c->line.leave();
+    for (auto& c : s->clients) c->line.drain();
     later(kRouteMs, [this, i, l = s->life] {
       if (lives[std::size_t(i)] == l) kill(i);
     });
--- a/tests/sidecar/sidecar_fuzz_test.cc
+++ b/tests/sidecar/sidecar_fuzz_test.cc
@@ -139,7 +139,7 @@
       std::string all = m.method + " " + m.target + " " + std::to_string(m.status) + "\n";
       for (auto& [name, value] : m.fields) {
         head += name.size() + value.size();
-        EXPECT_TRUE(one_line(name) && one_line(value))
+        EXPECT_TRUE(is_single_line(name) && is_single_line(value))
             << "a field that is two lines: " << testing::PrintToString(name + ":" + value);
         all += name + ":" + value + "\n";
       }
@@ -203,16 +203,16 @@
       for (auto& a : line.read(piece, last, out)) {
         open.push_back(a.id), order.push_back(a.id);
         EXPECT_EQ(count_fields(a.call.fields, "Host"), 1u);
-        EXPECT_LE(count_fields(a.call.fields, kIdField), 1u);
-        EXPECT_TRUE(one_word(a.call.method) && one_word(a.call.target));
+        EXPECT_LE(count_fields(a.call.fields, kRequestIdField), 1u);
+        EXPECT_TRUE(is_single_word(a.call.method) && is_single_word(a.call.target));
         EXPECT_LE(a.call.body.size(), 100u);
       }
       while (!open.empty() && s.chance(0.4)) answer(s.pick(open.size()));
       return true;
     });
-    if (s.chance(0.3)) out += line.expired();
+    if (s.chance(0.3)) out += line.on_timeout();
     while (!open.empty()) answer(s.pick(open.size()));
-    EXPECT_LE(line.waiting(), 1u);
+    EXPECT_LE(line.pending_count(), 1u);
     std::size_t at = 0;
     for (std::string_view rest = out; !rest.empty();) {
       HttpReader r(HttpReader::Kind::kResponses, 1000, 1000);
@@ -231,7 +231,7 @@
       } else {
         ASSERT_TRUE(m.status == 400 || m.status == 408 || m.status == 413 || m.status == 431) << m.status;
         ASSERT_TRUE(rest.empty()) << "something behind the last answer";
-        ASSERT_TRUE(line.over());
+        ASSERT_TRUE(line.is_finished());
         ++refused;
       }
     }
@@ -268,13 +268,13 @@
     std::string out;
     EXPECT_EQ(line.read(c.bytes, last, out).size(), c.taken ? 1u : 0u);
     EXPECT_EQ(out.starts_with("HTTP/1.1 400 "), !c.taken);
-    EXPECT_EQ(line.over(), !c.taken);
+    EXPECT_EQ(line.is_finished(), !c.taken);
   }
 }
 
 // --- the database's side -----------------------------------------------------------
 
-struct Beside : InPort {
+struct Beside : InboundPort {
   TimerQueue timers;
   Inbound in{*this, timers};
   Millis now = 1000;
@@ -287,43 +287,43 @@
   std::map<std::uint64_t, Call> asked;
   int given = 0, failed = 0;
   void reply(LinkId, const Json& m) override {
-    const std::uint64_t n = number(m, "n");
+    const std::uint64_t n = unsigned_field(m, "n");
     ASSERT_LE(++answers[n], 1) << "answered twice";
-    if (text(m, "t") != "a") {
+    if (text_field(m, "t") != "a") {
       ++failed;
       return;
     }
     ++given;
-    const HttpFields fields = fields_from(m["h"]);
-    auto* id = find_field(fields, kIdField);
+    const HttpFields fields = fields_from_json(m["h"]);
+    auto* id = find_field(fields, kRequestIdField);
     ASSERT_TRUE(!id || *id == "q" + std::to_string(n)) << "another caller's answer";
-    const auto status = figure(m, "s", 0, 0, 999);
+    const auto status = clamped_field(m, "s", 0, 0, 999);
     ASSERT_TRUE(status >= 200 && status < 600);
-    ASSERT_TRUE(status >= 300 || find_field(fields, kSealField));
+    ASSERT_TRUE(status >= 300 || find_field(fields, kResponseSealField));
   }
-  void open_server(ConnId id) override { conns[id]; }
-  void to_server(ConnId id, const Call& c) override {
-    conns[id].reader.asked(c.method == "HEAD");
-    conns[id].id = *find_field(c.fields, kIdField);
+  void open_app_connection(ConnId id) override { conns[id]; }
+  void send_to_app(ConnId id, const Call& c) override {
+    conns[id].reader.request_sent(c.method == "HEAD");
+    conns[id].id = *find_field(c.fields, kRequestIdField);
   }
-  void close_server(ConnId id) override { conns.erase(id); }
+  void close_app_connection(ConnId id) override { conns.erase(id); }
   void step(Millis ms) {
     now += ms;
     in.set_time(now);
     timers.run(now);
   }
   void hear(ConnId id, std::string_view bytes) {
-    in.server_bytes(id);
+    in.app_bytes_received(id);
     if (!conns.count(id)) return;
-    std::vector<AppResponseReader::Answer> got;
+    std::vector<AppResponseReader::Response> got;
     const bool fine = conns[id].reader.feed(bytes, got);
     for (auto& a : got) {
-      in.server_reply(id, std::move(a.reply), a.keep_ms);
+      in.app_reply_received(id, std::move(a.reply), a.keep_alive_ms);
       if (!conns.count(id)) return;
     }
     if (fine) return;
     conns.erase(id);
-    in.server_down(id, false);
+    in.app_connection_down(id, false);
   }
 };
 
@@ -334,7 +334,7 @@
           {"i", "db"},
           {"m", s.chance(0.1) ? "HEAD" : "GET"},
           {"u", "/s/x"},
-          {"h", Json::array({"Host", "h", kIdField, id})},
+          {"h", Json::array({"Host", "h", kRequestIdField, id})},
           {"b", ""},
           {"d", 200},
           {"w", s.pick(2) * 50},
@@ -351,7 +351,7 @@
     Source s{std::uint32_t(seed)};
     Beside b;
     b.step(0);
-    b.in.database(Instance{{"db"}, "s", "z", {"10.0.0.1", 1}, 2, false, false, 1});
+    b.in.set_database(Instance{{"db"}, "s", "z", {"10.0.0.1", 1}, 2, false, false, 1});
     for (std::uint64_t n = 1; n <= 12; ++n) {
       b.in.offer(1, offer(n, s));
       for (int round = 0; round < 3; ++round) {
@@ -360,12 +360,12 @@
         for (auto id : ids) {
           if (!b.conns.count(id)) continue;
           if (b.conns[id].id.empty()) {
-            b.in.server_up(id);
+            b.in.app_connection_up(id);
             continue;
           }
           const std::string of = s.chance(0.8) ? b.conns[id].id : "q" + std::to_string(1 + s.pick(12));
           std::string ok = std::string("HTTP/1.1 ") + (s.chance(0.8) ? "200 OK" : "503 Busy") + "\r\n" +
-                           kIdField + ": " + of + "\r\n" + kSealField +
+                           kRequestIdField + ": " + of + "\r\n" + kResponseSealField +
                            ": s\r\nContent-Length: 4\r\n\r\nbody";
           if (s.chance(0.5)) ok = s.chance(0.1) ? s.noise(60) : s.mutate(ok, kWords);
           s.pieces(ok, [&](std::string_view piece) {
@@ -388,43 +388,43 @@
 // --- frames -----------------------------------------------------------------------------
 
 TEST(FuzzMesh, FramesThatNestOrLieAreRefused) {
-  EXPECT_FALSE(unpacked(std::string(1 << 20, char(0x91)))) << "a million lists in each other";
-  EXPECT_FALSE(unpacked(std::string(1 << 20, char(0x81))));
-  EXPECT_FALSE(unpacked(std::string("\xdd\xff\xff\xff\xff", 5))) << "a list longer than its bytes";
-  EXPECT_FALSE(unpacked(std::string("\xdb\xff\xff\xff\xff", 5)));
-  EXPECT_FALSE(unpacked(""));
-  EXPECT_FALSE(unpacked("\x01")) << "no object";
+  EXPECT_FALSE(decode_frame(std::string(1 << 20, char(0x91)))) << "a million lists in each other";
+  EXPECT_FALSE(decode_frame(std::string(1 << 20, char(0x81))));
+  EXPECT_FALSE(decode_frame(std::string("\xdd\xff\xff\xff\xff", 5))) << "a list longer than its bytes";
+  EXPECT_FALSE(decode_frame(std::string("\xdb\xff\xff\xff\xff", 5)));
+  EXPECT_FALSE(decode_frame(""));
+  EXPECT_FALSE(decode_frame("\x01")) << "no object";
   Json deep = Json::object();
   deep["h"] = Json::array({"Host", "h"});
-  EXPECT_EQ(unpacked(packed(deep)), deep);
-  EXPECT_FALSE(unpacked(packed(deep) + "x")) << "more than a frame";
+  EXPECT_EQ(decode_frame(encode_frame(deep)), deep);
+  EXPECT_FALSE(decode_frame(encode_frame(deep) + "x")) << "more than a frame";
   const Json odd{{"a", 1e300}, {"b", -1e300}, {"c", std::nan("")}, {"d", "7"}, {"e", -3}, {"f", 3.9}};
-  EXPECT_EQ(figure(odd, "a", 1, 0, 9), 9);
-  EXPECT_EQ(figure(odd, "b", 1, 0, 9), 0);
-  EXPECT_EQ(figure(odd, "c", 1, 0, 9), 0);
-  EXPECT_EQ(figure(odd, "d", 1, 0, 9), 1);
-  EXPECT_EQ(number(odd, "e"), 0u);
-  EXPECT_EQ(figure(odd, "f", 1, 0, 9), 3);
+  EXPECT_EQ(clamped_field(odd, "a", 1, 0, 9), 9);
+  EXPECT_EQ(clamped_field(odd, "b", 1, 0, 9), 0);
+  EXPECT_EQ(clamped_field(odd, "c", 1, 0, 9), 0);
+  EXPECT_EQ(clamped_field(odd, "d", 1, 0, 9), 1);
+  EXPECT_EQ(unsigned_field(odd, "e"), 0u);
+  EXPECT_EQ(clamped_field(odd, "f", 1, 0, 9), 3);
 }
 
 TEST(FuzzMesh, AFieldOfAnotherProcessStaysOneLine) {
-  EXPECT_EQ(
-      fields_from(Json::array({"A", "b", "C", "d\r\nE: f", "G\r\nH", "i", "J k", "l", "", "m", 1, "n", "O"})),
-      (HttpFields{{"A", "b"}}));
+  EXPECT_EQ(fields_from_json(
+                Json::array({"A", "b", "C", "d\r\nE: f", "G\r\nH", "i", "J k", "l", "", "m", 1, "n", "O"})),
+            (HttpFields{{"A", "b"}}));
   Source s(1);
   for (const char* key : {"m", "u"}) {
     Beside b;
     b.step(0);
-    b.in.database(Instance{{"db"}, "s", "z", {"10.0.0.1", 1}, 2, false, false, 1});
+    b.in.set_database(Instance{{"db"}, "s", "z", {"10.0.0.1", 1}, 2, false, false, 1});
     Json m = offer(1, s);
     m[key] = "GET /b HTTP/1.1\r\nHost: h\r\n\r\nGET";
     b.in.offer(1, m);
-    EXPECT_EQ(b.in.busy(), 0u) << "two requests in one";
+    EXPECT_EQ(b.in.pending_count(), 0u) << "two requests in one";
     EXPECT_EQ(b.answers[1], 1);
   }
 }
 
-struct Caller : OutPort {
+struct Caller : OutboundPort {
   TimerQueue timers;
   ClusterState cluster;
   std::map<CallId, int> answers;
@@ -436,7 +436,7 @@
     ASSERT_LE(++answers[id], 1) << "answered twice";
     ASSERT_TRUE(r.status >= 200 && r.status < 600) << r.status;
     for (auto& [name, value] : r.fields)
-      ASSERT_TRUE(one_word(name) && one_line(value)) << "two answers in one";
+      ASSERT_TRUE(is_single_word(name) && is_single_line(value)) << "two answers in one";
   }
   void offer(const Endpoint& at, const Json& m) override { offers.push_back(m), where.push_back(at); }
   bool is_linked(const Endpoint&) override { return true; }
@@ -483,31 +483,32 @@
     Caller caller;
     Beside b;
     b.step(0);
-    b.in.database(Instance{{"db"}, "s", "z", {"10.0.0.1", 1}, 2, false, false, 1});
+    b.in.set_database(Instance{{"db"}, "s", "z", {"10.0.0.1", 1}, 2, false, false, 1});
     caller.cluster.apply(1, rows);
     caller.out.set_time(1000);
-    caller.out.sure(true);
+    caller.out.set_state_current(true);
     auto injured = [&](Json m) -> std::optional<Json> {
       for (auto& [key, value] : m.items())
         if (s.chance(0.15)) value = odd[s.pick(odd.size())];
-      std::string bytes = packed(m);
+      std::string bytes = encode_frame(m);
       if (s.chance(0.3)) bytes = s.mutate(bytes, {"\x81", "\x91", "\xc0", "\xd9", "\xcf", "\xa1t"});
-      return unpacked(bytes);
+      return decode_frame(bytes);
     };
     for (CallId id = 1; id <= 6; ++id)
-      caller.out.call(id, {"GET", "/s/x", "", {{"Host", "h"}, {kIdField, "q" + std::to_string(id)}}});
+      caller.out.start_call(
+          id, {"GET", "/s/x", "", {{"Host", "h"}, {kRequestIdField, "q" + std::to_string(id)}}});
     for (std::size_t i = 0; i < caller.offers.size() && i < 60; ++i) {
       const Json offer_made = caller.offers[i];
       Json told{{"t", std::array{"a", "no", "fail"}[s.pick(3)]},
-                {"n", number(offer_made, "n")},
+                {"n", unsigned_field(offer_made, "n")},
                 {"s", 200},
                 {"y", "full"},
                 {"x", s.chance(0.1)},
                 {"w", s.chance(0.1)},
-                {"h", Json::array({kIdField, "q", "X-A", "b"})},
+                {"h", Json::array({kRequestIdField, "q", "X-A", "b"})},
                 {"b", "body"},
                 {"l", Json::array({1, 2, 3, 4})}};
-      if (auto m = injured(told)) caller.out.frame(caller.where[i], *m);
+      if (auto m = injured(told)) caller.out.handle_frame(caller.where[i], *m);
       if (auto m = injured(offer_made)) b.in.offer(1, *m);
       if (auto m = injured(offer(100 + i, s))) {
         // Its number may be any by now; only what can be told apart is counted.
@@ -524,7 +525,7 @@
     for (CallId id = 1; id <= 6; ++id) ASSERT_EQ(caller.answers[id], 1) << "call " << id;
     ASSERT_EQ(caller.out.open_calls(), 0u);
     b.step(2 * kMaxWaitMs);
-    ASSERT_EQ(b.in.busy(), 0u);
+    ASSERT_EQ(b.in.pending_count(), 0u);
   }
 }
 
--- a/tests/sidecar/sidecar_halves.h
+++ b/tests/sidecar/sidecar_halves.h
@@ -5,7 +5,7 @@
 
 namespace pebblespindle::test::mesh {
 
-struct Start : OutPort {  // where requests begin
+struct Start : OutboundPort {  // where requests begin
   TimerQueue timers;
   ClusterState cluster;
   Millis now = 1000;
@@ -24,8 +24,8 @@
     }
     cluster.apply(1, w.rows);
     step(0);
-    out.fleet(1);
-    out.sure(true);
+    out.set_node_count(1);
+    out.set_state_current(true);
   }
   void answer(CallId id, Reply r) override {
     EXPECT_FALSE(answers.count(id));
@@ -46,12 +46,13 @@
     out.set_time(now);
   }
   void ask(CallId id, bool safe) {
-    out.call(id, {"GET", safe ? "/s/safe/x" : "/s/once/x", "", {{"Host", "h"}, {kIdField, "q"}}});
+    out.start_call(id,
+                   {"GET", safe ? "/s/safe/x" : "/s/once/x", "", {{"Host", "h"}, {kRequestIdField, "q"}}});
   }
-  std::uint64_t n(std::size_t i) const { return sidecar::number(offers.at(i).second, "n"); }
+  std::uint64_t n(std::size_t i) const { return sidecar::unsigned_field(offers.at(i).second, "n"); }
   void say(std::size_t i, Json m) {
     m["n"] = n(i);
-    out.frame(offers.at(i).first, m);
+    out.handle_frame(offers.at(i).first, m);
   }
   int status(CallId id) const { return answers.count(id) ? answers.at(id).status : 0; }
 };
@@ -61,7 +62,7 @@
 inline const Json kFailed{{"t", "fail"}};
 inline const Json kGone{{"t", "no"}, {"y", "gone"}};
 
-struct Beside : InPort {
+struct Beside : InboundPort {
   TimerQueue timers;
   Millis now = 1000;
   Inbound in{*this, timers};
@@ -70,7 +71,7 @@
   std::vector<std::pair<ConnId, Call>> written;
   Beside() {
     step(0);
-    in.database(life("a"));
+    in.set_database(life("a"));
   }
   static Instance life(const std::string& id, int slots = 2) {
     return {{id}, "s", "z0", World::where(0), slots, false, false, 1};
@@ -79,9 +80,9 @@
     EXPECT_FALSE(replies.count(m["n"])) << "two outcomes of one offer";
     replies[m["n"]] = m;
   }
-  void open_server(ConnId id) override { opened.push_back(id); }
-  void to_server(ConnId id, const Call& c) override { written.emplace_back(id, c); }
-  void close_server(ConnId id) override { closed.push_back(id); }
+  void open_app_connection(ConnId id) override { opened.push_back(id); }
+  void send_to_app(ConnId id, const Call& c) override { written.emplace_back(id, c); }
+  void close_app_connection(ConnId id) override { closed.push_back(id); }
   void step(Millis ms) {
     now += ms;
     in.set_time(now);
@@ -93,7 +94,7 @@
                  {"i", in.database()->id.value},
                  {"m", method},
                  {"u", "/x"},
-                 {"h", Json::array({"Host", "h", kIdField, "q" + std::to_string(n)})},
+                 {"h", Json::array({"Host", "h", kRequestIdField, "q" + std::to_string(n)})},
                  {"b", ""},
                  {"d", 500},
                  {"w", wait},
@@ -101,15 +102,16 @@
                  {"p", rank},
                  {"s", safe}});
   }
-  void answer(ConnId conn, const std::string& id, int status = 200, HttpFields more = {{kSealField, "s"}}) {
-    if (!id.empty()) more.emplace_back(kIdField, id);
-    in.server_reply(conn, {status, "of " + id, more}, 0);
+  void answer(ConnId conn, const std::string& id, int status = 200,
+              HttpFields more = {{kResponseSealField, "s"}}) {
+    if (!id.empty()) more.emplace_back(kRequestIdField, id);
+    in.app_reply_received(conn, {status, "of " + id, more}, 0);
   }
-  std::string said(std::uint64_t n) { return replies.count(n) ? text(replies[n], "t") : ""; }
+  std::string said(std::uint64_t n) { return replies.count(n) ? text_field(replies[n], "t") : ""; }
   // A connection that has carried q1 and rests.
   ConnId rested() {
     offer(1, true);
-    in.server_up(opened.back());
+    in.app_connection_up(opened.back());
     answer(opened.back(), "q1");
     step(5);
     return opened.back();
--- a/tests/sidecar/sidecar_test.cc
+++ b/tests/sidecar/sidecar_test.cc
@@ -30,7 +30,7 @@
 
 struct Mesh;
 
-struct Ship : OutPort, InPort {
+struct Ship : OutboundPort, InboundPort {
   Mesh& mesh;
   int no;
   TimerQueue timers;
@@ -55,9 +55,9 @@
     return false;
   }
   void reply(LinkId link, const Json& frame) override;
-  void open_server(ConnId id) override;
-  void to_server(ConnId id, const Call& c) override;
-  void close_server(ConnId id) override {
+  void open_app_connection(ConnId id) override;
+  void send_to_app(ConnId id, const Call& c) override;
+  void close_app_connection(ConnId id) override {
     end_run(id);
     apps.erase(id);
   }
@@ -146,25 +146,27 @@
     calls[c] = id;
     std::string path = safe ? "/idempotent/x" : "/non_idempotent/x";
     s.out.set_time(now);
-    s.out.call(c, {safe ? "GET" : "POST",
-                   path,
-                   "body of " + id,
-                   {{"Host", "h"}, {kIdField, id}, {kCallerField, "forged"}, {kDeadlineField, "5000"}}});
+    s.out.start_call(
+        c,
+        {safe ? "GET" : "POST",
+         path,
+         "body of " + id,
+         {{"Host", "h"}, {kRequestIdField, id}, {kCallerServiceField, "forged"}, {kDeadlineField, "5000"}}});
   }
   // A request has come to a database.
   void arrive(int db, ConnId conn, const Call& c) {
-    const std::string id = *find_field(c.fields, kIdField);
+    const std::string id = *find_field(c.fields, kRequestIdField);
     ChangeOutcome& f = fates[id];
     ASSERT_EQ(c.body, "body of " + id);
-    ASSERT_EQ(count_fields(c.fields, kCallerField), 1u);
-    ASSERT_EQ(*find_field(c.fields, kCallerField), "service" + std::to_string(f.node))
+    ASSERT_EQ(count_fields(c.fields, kCallerServiceField), 1u);
+    ASSERT_EQ(*find_field(c.fields, kCallerServiceField), "service" + std::to_string(f.node))
         << "a caller is forged or lost";
-    ASSERT_EQ(*find_field(c.fields, kTargetField), "db" + std::to_string(db));
+    ASSERT_EQ(*find_field(c.fields, kTargetInstanceField), "db" + std::to_string(db));
     if (f.databases.insert(db).second) (f.databases.size() == 1 ? first : second).push_back(now);
     Ship& s = *ships[std::size_t(db)];
     int trouble = chance(bad[std::size_t(db)]) ? 1 + pick(6) : 0;
-    if (trouble == 1) return s.in.server_down(conn, false);  // reset, not run: but nobody can know
-    if (trouble == 2)                                        // it says that it has not run
+    if (trouble == 1) return s.in.app_connection_down(conn, false);  // reset, not run: but nobody can know
+    if (trouble == 2)                                                // it says that it has not run
       return later(1, [=, this] { reply(db, conn, id, 503, true); });
     ++f.runs;
     ++s.running;
@@ -173,7 +175,7 @@
     later(5 + pick(60) + (chance(0.02) ? 400 : 0), [=, this] {
       if (lives[db] != life || !ships[std::size_t(db)]->end_run(conn)) return;
       if (trouble == 3) return;  // mute
-      if (trouble == 4) return ships[std::size_t(db)]->in.server_down(conn, false);
+      if (trouble == 4) return ships[std::size_t(db)]->in.app_connection_down(conn, false);
       reply(db, conn, id, trouble == 5 ? 500 : 200, false, trouble == 6);
     });
   }
@@ -181,13 +183,13 @@
     Ship& s = *ships[std::size_t(db)];
     if (!s.apps.count(conn)) return;
     auto say = [&](const std::string& of) {
-      Reply r{status, "ok " + of, {{kIdField, of}}};
+      Reply r{status, "ok " + of, {{kRequestIdField, of}}};
       if (not_run)
-        r.fields.emplace_back(kNotRunField, "1");
+        r.fields.emplace_back(kNotExecutedField, "1");
       else
-        r.fields.emplace_back(kSealField, "seal " + of);
+        r.fields.emplace_back(kResponseSealField, "seal " + of);
       s.in.set_time(now);
-      s.in.server_reply(conn, std::move(r), 2000);
+      s.in.app_reply_received(conn, std::move(r), 2000);
     };
     if (extra) say("q0");  // one too many, of a request long gone
     if (s.apps.count(conn)) say(id);
@@ -218,9 +220,9 @@
   cluster.apply(1, m.rows);
   out.set_time(m.now);
   in.set_time(m.now);
-  out.fleet(kNodes);
-  out.sure(true);
-  in.database(*cluster.instance({"db" + std::to_string(n)}));
+  out.set_node_count(kNodes);
+  out.set_state_current(true);
+  in.set_database(*cluster.instance({"db" + std::to_string(n)}));
 }
 void Ship::answer(CallId id, Reply r) {
   ChangeOutcome& f = mesh.fates[mesh.calls[id]];
@@ -229,7 +231,7 @@
   ++(r.status == 200 ? mesh.served : r.status == 503 ? mesh.refused : mesh.failed);
   if (r.status == 200) {
     ASSERT_EQ(r.body, "ok " + mesh.calls[id]) << "another request's answer";
-    ASSERT_TRUE(find_field(r.fields, kSealField));
+    ASSERT_TRUE(find_field(r.fields, kResponseSealField));
   }
 }
 void Ship::offer(const Endpoint& to, const Json& frame) {
@@ -255,19 +257,19 @@
   mesh.over(no, peer, [=, this, &m = mesh] {
     auto& s = *m.ships[std::size_t(peer)];
     s.out.set_time(m.now);
-    s.out.frame(at, frame);
+    s.out.handle_frame(at, frame);
   });
 }
-void Ship::open_server(ConnId id) {
+void Ship::open_app_connection(ConnId id) {
   apps[id];
   auto life = mesh.lives[no];
   mesh.later(1, [=, this, &m = mesh, self = no] {
     if (m.lives[self] != life || !apps.count(id)) return;
     in.set_time(m.now);
-    in.server_up(id);
+    in.app_connection_up(id);
   });
 }
-void Ship::to_server(ConnId id, const Call& c) {
+void Ship::send_to_app(ConnId id, const Call& c) {
   auto life = mesh.lives[no];
   mesh.later(1, [=, this, &m = mesh, self = no] {
     if (m.lives[self] == life && apps.count(id)) m.arrive(no, id, c);
@@ -296,7 +298,7 @@
         for (int other = 0; other < kNodes; ++other) {
           if (other == n) continue;
           m.ships[std::size_t(other)]->out.link_down(Mesh::where(n), true);
-          m.ships[std::size_t(other)]->in.link_gone(LinkId(n + 1));
+          m.ships[std::size_t(other)]->in.link_closed(LinkId(n + 1));
         }
       }
     }
@@ -319,8 +321,8 @@
   b.set_slack(4);
   std::deque<Millis> first, second;
   for (Millis now = 0; now < 60000; ++now) {
-    if (rng() % (now / 7000 % 2 ? 400 : 15) == 0) b.first(now), first.push_back(now);
-    if (b.spend(now)) second.push_back(now);
+    if (rng() % (now / 7000 % 2 ? 400 : 15) == 0) b.count_first_attempt(now), first.push_back(now);
+    if (b.try_spend(now)) second.push_back(now);
     while (!first.empty() && first.front() <= now - 10000) first.pop_front();
     while (!second.empty() && second.front() <= now - 10000) second.pop_front();
     ASSERT_LE(double(second.size()), 0.2 * double(first.size()) + 4) << now;
@@ -329,18 +331,18 @@
 }
 
 TEST(Mesh, FieldsOfOneConnectionAreNotPassedOn) {
-  auto kept = end_to_end({{"Host", "h"},
-                          {"Connection", "close, X-Mine ,keep-alive"},
-                          {"X-Mine", "1"},
-                          {"Keep-Alive", "timeout=5"},
-                          {"TE", "trailers"},
-                          {"Transfer-Encoding", "chunked"},
-                          {"X-Other", "2"}});
+  auto kept = end_to_end_fields({{"Host", "h"},
+                                 {"Connection", "close, X-Mine ,keep-alive"},
+                                 {"X-Mine", "1"},
+                                 {"Keep-Alive", "timeout=5"},
+                                 {"TE", "trailers"},
+                                 {"Transfer-Encoding", "chunked"},
+                                 {"X-Other", "2"}});
   EXPECT_EQ(kept, (HttpFields{{"Host", "h"}, {"X-Other", "2"}}));
-  EXPECT_EQ(own_reply(503, 80).fields, (HttpFields{{"Retry-After", "0.080"}}));
+  EXPECT_EQ(local_reply(503, 80).fields, (HttpFields{{"Retry-After", "0.080"}}));
   HttpFields f{{"x-pebblespindle-CALLER-service", "forged"}};
-  set_field(f, kCallerField, "mine");
-  EXPECT_EQ(count_fields(f, kCallerField), 1u);
+  set_field(f, kCallerServiceField, "mine");
+  EXPECT_EQ(count_fields(f, kCallerServiceField), 1u);
 }
 
 // What is broken, smuggled or too large ends its connection and is never passed on.
--- a/tests/sidecar/socket_answers_test.cc
+++ b/tests/sidecar/socket_answers_test.cc
@@ -107,7 +107,7 @@
   w.answer("a1");
   run_until(w.loop, [&] { return a.ended; });
   EXPECT_NE(a.heard.find("for a2"), std::string::npos);
-  EXPECT_EQ(w.front.waiting(), 0u);
+  EXPECT_EQ(w.front.pending_count(), 0u);
 }
 
 TEST(AnswersWire, ALeavingNodeAnswersWhatItHasReadAndReadsNoMoreThanThat) {
@@ -115,7 +115,7 @@
   Peer a(w.loop.io(), w.at), rests(w.loop.io(), w.at);
   a.say(get("a1") + get("a2"));
   run_until(w.loop, [&] { return w.calls.size() == 2; });
-  w.front.leave();
+  w.front.drain();
   a.say(get("a3") + get("a4"));
   run_until(w.loop, [&] { return rests.ended && w.calls.count("a3"); });
   EXPECT_TRUE(rests.ended);
@@ -131,12 +131,12 @@
   Peer a(w.loop.io(), w.at);
   a.say(get("a1"));
   run_until(w.loop, [&] { return w.calls.count("a1") > 0; });
-  w.front.leave();
+  w.front.drain();
   const std::size_t size = 6 << 20;
   w.front.answer(w.calls["a1"], {200, std::string(size, 'x'), {}});
-  EXPECT_EQ(w.front.waiting(), 1u) << "it is answered, and not written out";
-  run_until(w.loop, [&] { return w.front.waiting() == 0; });
-  EXPECT_EQ(w.front.waiting(), 0u);
+  EXPECT_EQ(w.front.pending_count(), 1u) << "it is answered, and not written out";
+  run_until(w.loop, [&] { return w.front.pending_count() == 0; });
+  EXPECT_EQ(w.front.pending_count(), 0u);
   run_until(w.loop, [&] { return a.ended; });
   EXPECT_GT(a.heard.size(), size);
 }
@@ -190,8 +190,8 @@
     const auto next = w.calls.find("x" + std::to_string(round));
     if (next != w.calls.end()) w.front.answer(next->second, {503, "", {}});
   }
-  EXPECT_LT(w.front.waiting(), 1200u);
-  EXPECT_GT(w.front.waiting(), 60u);
+  EXPECT_LT(w.front.pending_count(), 1200u);
+  EXPECT_GT(w.front.pending_count(), 60u);
 }
 
 // --- links ------------------------------------------------------------------------
@@ -228,7 +228,7 @@
   ASSERT_EQ(w.b.listen(at), "");
   w.a.send(at, offer(1));
   run_until(w.loop, [&] { return w.offers.size() == 1; });
-  w.b.announce_end();
+  w.b.announce_shutdown();
   run_until(w.loop, [&] { return !w.ending.empty(); });
   ASSERT_EQ(w.ending.size(), 1u);
   EXPECT_EQ(w.ending[0], at);
