--- a/src/pooler/control_feed.cc
+++ b/src/pooler/control_feed.cc
@@ -7,50 +7,50 @@
 
 namespace pebblespindle::pooler {
 
-bool News::hear(Millis now, std::string_view line) {
+bool ControlFeed::handle_line(Millis now, std::string_view line) {
   Json m = Json::parse(line, nullptr, false);
   if (!m.is_object()) return false;
   const std::string t = field<std::string>(m, "t", "");
   if (t == "up") {
     auto rows = decode_rows(m["r"]);
     if (!rows) return false;
-    engine_.feed(number(m, "k"), std::move(*rows), field(m, "whole", false));
+    engine_.apply_update(number(m, "k"), std::move(*rows), field(m, "whole", false));
     return true;
   }
   if (t == "depth") {
-    depth(now, m);
+    apply_position(now, m);
   } else if (t == "avoid") {
-    engine_.avoid({field<std::string>(m, "id", "")});
+    engine_.avoid_reads({field<std::string>(m, "id", "")});
   } else if (t == "tight") {
-    engine_.tight({field<std::string>(m, "id", "")});
+    engine_.note_connection_limit({field<std::string>(m, "id", "")});
   } else if (t == "paid") {
-    core_ = field<std::string>(m, "from", "");
+    controller_ = field<std::string>(m, "from", "");
     const auto sum = field<quota::Rights>(m, "sum", -1);
-    if (sum <= kMaxReportedValue) engine_.paid(field<std::string>(m, "s", ""), core_, sum);
+    if (sum <= kMaxReportedValue) engine_.on_quota_granted(field<std::string>(m, "s", ""), controller_, sum);
   } else if (t == "grant") {
-    grant(now, m);
+    apply_grant(now, m);
   }
   return false;
 }
 
 // A lease counts from before it was asked for. One that was asked for over another link is not ours: the core
 // was told that its holder is gone.
-void News::grant(Millis now, const Json& m) {
+void ControlFeed::apply_grant(Millis now, const Json& m) {
   const Millis at = field<Millis>(m, "at", -1), ms = field<Millis>(m, "ms", 0);
   const Millis clock = field<Millis>(m, "c", 0);
-  if (!asked_here(now, at)) return;
-  if (clock >= 0 && clock <= kMaxReportedValue) engine_.hear_clock(number(m, "life"), clock);
-  engine_.lease(at + std::clamp<Millis>(ms, 0, kNodeLeaseMs) - kClockDriftMarginMs, number(m, "k"),
-                std::size_t(std::min<std::uint64_t>(number(m, "n"), kMaxNodes)));
+  if (!requested_on_this_link(now, at)) return;
+  if (clock >= 0 && clock <= kMaxReportedValue) engine_.note_controller_clock(number(m, "life"), clock);
+  engine_.extend_lease(at + std::clamp<Millis>(ms, 0, kNodeLeaseMs) - kClockDriftMarginMs, number(m, "k"),
+                       std::size_t(std::min<std::uint64_t>(number(m, "n"), kMaxNodes)));
 }
 
-void News::depth(Millis now, const Json& m) {
+void ControlFeed::apply_position(Millis now, const Json& m) {
   const Millis at = field<Millis>(m, "at", -1), age = field<Millis>(m, "age", -1);
   auto p = Position::parse(field<std::string>(m, "p", ""));
-  if (!asked_here(now, at)) return;
+  if (!requested_on_this_link(now, at)) return;
   if (age < 0 || age > kMaxPositionAgeMs)
     p.reset();  // it is told without one, or with none that could be used
-  engine_.position_asked(field<std::string>(m, "s", ""), p ? at - age : at, p);
+  engine_.on_position_reply(field<std::string>(m, "s", ""), p ? at - age : at, p);
 }
 
 }  // namespace pebblespindle::pooler
--- a/src/pooler/control_feed.h
+++ b/src/pooler/control_feed.h
@@ -4,23 +4,23 @@
 
 namespace pebblespindle::pooler {
 
-class News {
+class ControlFeed {
  public:
-  explicit News(Engine& engine) : engine_(engine) {}
+  explicit ControlFeed(Engine& engine) : engine_(engine) {}
   // The link to the agent is another one: what answers questions of former links, or of a former life of
   // this process, is void.
-  void linked(Millis now) { linked_at_ = now; }
+  void on_link_up(Millis now) { link_up_at_ = now; }
   // A line of the agent. True: the control state may have moved, and is to be acknowledged.
-  bool hear(Millis now, std::string_view line);
-  const quota::Holder& core() const { return core_; }  // the core that last gave rights
+  bool handle_line(Millis now, std::string_view line);
+  const quota::Holder& controller() const { return controller_; }  // the core that last gave rights
 
  private:
-  bool asked_here(Millis now, Millis at) const { return at >= linked_at_ && at <= now; }
-  void grant(Millis now, const Json& m);
-  void depth(Millis now, const Json& m);
+  bool requested_on_this_link(Millis now, Millis at) const { return at >= link_up_at_ && at <= now; }
+  void apply_grant(Millis now, const Json& m);
+  void apply_position(Millis now, const Json& m);
   Engine& engine_;
-  Millis linked_at_ = 0;
-  quota::Holder core_;
+  Millis link_up_at_ = 0;
+  quota::Holder controller_;
 };
 
 }  // namespace pebblespindle::pooler
--- a/src/pooler/engine_health.cc
+++ b/src/pooler/engine_health.cc
@@ -8,85 +8,88 @@
 
 namespace pebblespindle::pooler {
 
-void Engine::met(const InstanceId& id, bool good, Millis took) {
+void Engine::record_result(const InstanceId& id, bool good, Millis took) {
   Pool& p = pools_[id];
-  ++p.seen.asked;
-  p.seen.ms += took;
-  p.trouble += ((good ? 0.0 : 1.0) - p.trouble) * kFailureShareWeight;
+  ++p.window.requests;
+  p.window.total_ms += took;
+  p.failure_rate += ((good ? 0.0 : 1.0) - p.failure_rate) * kFailureRateWeight;
   if (good) return;
-  ++p.seen.bad;
-  if (p.trouble < kMaxFailureShare || now_ < p.avoid_until) return;
+  ++p.window.failures;
+  if (p.failure_rate < kMaxFailureRate || now_ < p.avoid_until) return;
   // Each time it fails again soon after its trial, it is left alone for longer.
   bool again = now_ < p.avoid_until + kMaxEjectionMs;
-  p.avoid_pause = again && p.avoid_pause > 0 ? std::min(2 * p.avoid_pause, kMaxEjectionMs) : kFirstEjectionMs;
-  p.avoid_until = now_ + p.avoid_pause;
-  p.trouble = kMaxFailureShare / 2;  // one more failure on trial is enough
+  p.avoid_duration =
+      again && p.avoid_duration > 0 ? std::min(2 * p.avoid_duration, kMaxEjectionMs) : kFirstEjectionMs;
+  p.avoid_until = now_ + p.avoid_duration;
+  p.failure_rate = kMaxFailureRate / 2;  // one more failure on trial is enough
 }
 
 // Where this node asks a service too seldom to know how far its primary stands, others of its core know:
 // worth a question when a replica at home could serve the read instead of a primary elsewhere, or any replica
 // instead of a primary that is gone or has more callers than places.
-bool Engine::worth_asking_position(const std::string& service, const Choice& primary) const {
-  if (core_life_ == 0) return false;
+bool Engine::should_request_position(const std::string& service, const RoutingDecision& primary) const {
+  if (controller_incarnation_ == 0) return false;
   const PrimaryAssignment* lead = cluster_.primary_of(service);
   auto p = lead ? pools_.find(lead->primary) : pools_.end();
-  bool any = primary.kind != Choice::Kind::kGo || (p != pools_.end() && now_ < p->second.tight_until);
+  bool any = primary.kind != RoutingDecision::Kind::kSend ||
+             (p != pools_.end() && now_ < p->second.limit_reported_until);
   bool near = false;
   for (auto* i : cluster_.instances_of(service)) {
     if (!usable(*i) || i->draining) continue;
     bool leads = lead && lead->primary == i->id;
-    if (leads && i->zone == zone_ && primary.kind == Choice::Kind::kGo) return false;
+    if (leads && i->zone == zone_ && primary.kind == RoutingDecision::Kind::kSend) return false;
     near = near || (!leads && (any || i->zone == zone_));
   }
   return near;
 }
 
-void Engine::sound(Session& s, const std::string& service) {
-  s.work.position_asked = true;
-  s.work.position_of = service;
+void Engine::await_position(Session& s, const std::string& service) {
+  s.statement.position_requested = true;
+  s.statement.awaits_position_of = service;
   auto& q = waiting_for_position_[service];
   q.push_back(s.id);
-  timers_.cancel(s.work.wait);
-  s.work.wait =
-      timers_.at(std::min(now_ + kPositionQueryTimeoutMs, s.work.deadline), [this, service, id = s.id] {
-        Session* x = find(id);
+  timers_.cancel(s.statement.wait_timer);
+  s.statement.wait_timer =
+      timers_.at(std::min(now_ + kPositionQueryTimeoutMs, s.statement.deadline), [this, service, id = s.id] {
+        Session* x = find_session(id);
         if (!x) return;
-        x->work.wait = 0;
-        x->work.position_of.clear();
+        x->statement.wait_timer = 0;
+        x->statement.awaits_position_of.clear();
         std::erase(waiting_for_position_[service], id);
-        attempt(id);
+        route_statement(id);
       });
-  if (q.size() == 1) port_.sound(service);
+  if (q.size() == 1) callbacks_.request_position(service);
 }
 
-void Engine::position_asked(const std::string& service, Millis asked, std::optional<Position> position) {
-  if (position) fresh_[service].observe(asked, *position);
+void Engine::on_position_reply(const std::string& service, Millis requested_at,
+                               std::optional<Position> position) {
+  if (position) freshness_[service].observe(requested_at, *position);
   auto q = std::exchange(waiting_for_position_[service], {});
   waiting_for_position_.erase(service);
   for (auto id : q)
-    if (Session* s = find(id)) {
-      s->work.position_of.clear();
-      timers_.cancel(s->work.wait);
+    if (Session* s = find_session(id)) {
+      s->statement.awaits_position_of.clear();
+      timers_.cancel(s->statement.wait_timer);
     }
-  for (auto id : q) attempt(id);
+  for (auto id : q) route_statement(id);
 }
 
-Json Engine::take_positions() {
-  auto met = std::exchange(met_positions_, {});
-  if (met.empty() || core_life_ == 0) return {};
+Json Engine::take_observed_positions() {
+  auto met = std::exchange(observed_positions_, {});
+  if (met.empty() || controller_incarnation_ == 0) return {};
   Json p = Json::array();
   for (auto& [service, s] : met)
-    p.push_back(Json::array({service, s.position.text(), s.asked + core_ahead_}));
-  return {{"life", core_life_}, {"p", p}};
+    p.push_back(Json::array({service, s.position.text(), s.requested_at + controller_clock_offset_}));
+  return {{"life", controller_incarnation_}, {"p", p}};
 }
 
-Json Engine::take_sights() {
+Json Engine::take_health_report() {
   Json databases = Json::array(), routes = Json::array();
   auto mean = [this](const InstanceId& id) {
     auto p = pools_.find(id);
-    return p == pools_.end() || p->second.seen.asked < kMinRequestsInReport
+    return p == pools_.end() || p->second.window.requests < kMinRequestsInReport
                ? Millis(-1)
-               : p->second.seen.ms / p->second.seen.asked;
+               : p->second.window.total_ms / p->second.window.requests;
   };
   for (auto& [id, p] : pools_) {
     const Instance* i = cluster_.instance(id);
@@ -96,15 +99,16 @@
       if (Millis m = mean(peer->id); m >= 0 && (best < 0 || m < best)) best = m;
     bool slow = mine >= 0 && double(mine) > double(best) * kLatencyAvoidFactor + kLatencyAvoidMs;
     // Where traffic is thin each node meets little: the core puts it together before it judges.
-    if (p.closed_off || slow || p.seen.bad > 0)
-      databases.push_back(Json::array({id.value, p.seen.asked, p.seen.bad,
-                                       p.seen.asked > 0 ? p.seen.ms / p.seen.asked : 0, int(p.closed_off)}));
+    if (p.blocked || slow || p.window.failures > 0)
+      databases.push_back(
+          Json::array({id.value, p.window.requests, p.window.failures,
+                       p.window.requests > 0 ? p.window.total_ms / p.window.requests : 0, int(p.blocked)}));
   }
-  for (auto& [id, p] : pools_) p.seen = {};
-  for (auto& [name, r] : routes_seen_)
-    if (r.asked >= kMinRequestsInReport && (r.refused + r.failed + r.late) * 10 >= r.asked)
-      routes.push_back(Json::array({name, r.asked, r.refused, r.failed, r.late}));
-  routes_seen_.clear();
+  for (auto& [id, p] : pools_) p.window = {};
+  for (auto& [name, r] : route_counts_)
+    if (r.requests >= kMinRequestsInReport && (r.refused + r.failed + r.late) * 10 >= r.requests)
+      routes.push_back(Json::array({name, r.requests, r.refused, r.failed, r.late}));
+  route_counts_.clear();
   if (databases.empty() && routes.empty()) return {};
   return {{"t", "sight"}, {"d", databases}, {"r", routes}};
 }
--- a/src/pooler/freshness.h
+++ b/src/pooler/freshness.h
@@ -11,27 +11,30 @@
 class Freshness {
  public:
   // The primary's log stood at p at some moment not before `asked`.
-  void observe(Millis asked, Position p) {
-    if (!seen_.empty() && p < seen_.back().position) return;  // an answer that overtook another
-    if (!seen_.empty() && asked < seen_.back().asked + kObservationStepMs) return;
-    seen_.push_back({asked, p});
-    while (seen_.size() > 1 && seen_.front().asked < asked - kMaxPositionAgeMs) seen_.pop_front();
+  void observe(Millis requested_at, Position position) {
+    if (!observations_.empty() && position < observations_.back().position)
+      return;  // an answer that overtook another
+    if (!observations_.empty() && requested_at < observations_.back().requested_at + kMinObservationSpacingMs)
+      return;
+    observations_.push_back({requested_at, position});
+    while (observations_.size() > 1 && observations_.front().requested_at < requested_at - kMaxPositionAgeMs)
+      observations_.pop_front();
   }
   // The least demanding position that holds every commit acknowledged more than stale_ms before now.
   std::optional<Position> bound(Millis now, Millis stale_ms) const {
-    Millis from = now - stale_ms + kFreshnessMarginMs;
-    for (auto& o : seen_)
-      if (o.asked >= from) return o.position;
+    Millis earliest = now - stale_ms + kFreshnessMarginMs;
+    for (auto& observation : observations_)
+      if (observation.requested_at >= earliest) return observation.position;
     return std::nullopt;
   }
-  void clear() { seen_.clear(); }
+  void clear() { observations_.clear(); }
 
  private:
   struct Observation {
-    Millis asked;
+    Millis requested_at;
     Position position;
   };
-  std::deque<Observation> seen_;
+  std::deque<Observation> observations_;
 };
 
 }  // namespace pebblespindle::pooler
--- a/src/pooler/lvector.h
+++ b/src/pooler/lvector.h
@@ -15,8 +15,8 @@
   auto operator<=>(const LVector&) const = default;
   const Position& newest() const { return newest_; }
   bool empty() const { return newest_.none(); }
-  void raise(Position p) {
-    if (p > newest_) newest_ = p;
+  void raise(Position position) {
+    if (position > newest_) newest_ = position;
   }
 
  private:
--- a/src/pooler/pooler.cc
+++ b/src/pooler/pooler.cc
@@ -25,7 +25,7 @@
 using pooler::ConnId;
 using pooler::SessionId;
 
-class Pooler : public pooler::Port {
+class Pooler : public pooler::EngineCallbacks {
  public:
   explicit Pooler(Settings s)
       : settings_(std::move(s)),
@@ -58,37 +58,37 @@
     loop_.every(kNodeRenewalMs, [this] { renew(); });
     loop_.every(kLatencyWindowMs, [this] {
       touch();
-      engine_.take_pace();
+      engine_.check_primary_latency();
     });
-    loop_.every(kShedIntervalMs, [this] {
+    loop_.every(kIdleCheckIntervalMs, [this] {
       touch();
-      engine_.shed_idle();
+      engine_.close_idle_connections();
     });
     loop_.every(kHealthWindowMs, [this] {
       touch();
-      Json sights = engine_.take_sights();
-      if (!sights.is_null()) feed_.send(sights);
+      Json sights = engine_.take_health_report();
+      if (!sights.is_null()) agent_link_.send(sights);
     });
-    feed_.start();
+    agent_link_.start();
     loop_.run();
     return 0;
   }
 
   // pooler::Port
-  void to_client(SessionId id, std::string bytes) override {
+  void send_to_client(SessionId id, std::string bytes) override {
     auto it = clients_.find(id);
     if (it != clients_.end()) it->second->send(bytes);
   }
-  void end_client(SessionId id) override {
+  void close_client(SessionId id) override {
     auto it = clients_.find(id);
     if (it == clients_.end()) return;
     const LineConnection::Ptr connection = it->second;
     clients_.erase(it);
-    if (!engine_.leaving()) return connection->close_after_flush();
+    if (!engine_.shutting_down()) return connection->close_after_flush();
     ending_.push_back(connection);
     connection->close_lingering();  // its client may be about to send
   }
-  void open_server(ConnId id, const Endpoint& at) override {
+  void open_connection(ConnId id, const Endpoint& at) override {
     LineConnection::connect(
         loop_.io(), at, kServerConnectMs, kMaxMessageBytes,
         [this, id](LineConnection::Ptr conn, const asio::error_code& ec) {
@@ -96,7 +96,7 @@
           opening_.erase(id);
           bool abandoned = abandoned_.erase(id) > 0;
           if (!conn) {
-            engine_.server_down(
+            engine_.on_connection_lost(
                 id, ec == asio::error::connection_refused || ec == asio::error::connection_reset, false);
           } else if (abandoned) {
             conn->close();
@@ -107,11 +107,11 @@
         });
     opening_.insert(id);
   }
-  void to_server(ConnId id, std::string bytes) override {
+  void send_to_database(ConnId id, std::string bytes) override {
     auto it = servers_.find(id);
     if (it != servers_.end()) it->second->send(bytes);
   }
-  void close_server(ConnId id, bool orderly) override {
+  void close_connection(ConnId id, bool orderly) override {
     auto it = servers_.find(id);
     if (it == servers_.end()) {
       if (opening_.count(id)) abandoned_.insert(id);
@@ -125,40 +125,42 @@
     }
     servers_.erase(it);
   }
-  void cleared(const InstanceId& id) override {
+  void report_recovered(const InstanceId& id) override {
     auto told = suspected_.find(id);
     if (told == suspected_.end()) return;
     if (!told->second.once) log_.say("Database " + id.value + " answers again.");
     suspected_.erase(told);
-    feed_.send(Json{{"t", "sus"}, {"id", id.value}, {"ok", true}});
+    agent_link_.send(Json{{"t", "sus"}, {"id", id.value}, {"ok", true}});
   }
-  void full(const InstanceId& id) override { feed_.send(Json{{"t", "full"}, {"id", id.value}}); }
-  void slow(const InstanceId& id) override {
-    feed_.send(Json{{"t", "sus"}, {"id", id.value}, {"slow", true}});
+  void report_connection_limit(const InstanceId& id) override {
+    agent_link_.send(Json{{"t", "full"}, {"id", id.value}});
   }
-  void suspect(const InstanceId& id, Trouble trouble) override {
+  void report_slow_primary(const InstanceId& id) override {
+    agent_link_.send(Json{{"t", "sus"}, {"id", id.value}, {"slow", true}});
+  }
+  void report_failure(const InstanceId& id, FailureKind trouble) override {
     Millis now = loop_.now();
-    bool refused = trouble == Trouble::kRefused, once = trouble == Trouble::kOneMissed;
+    bool refused = trouble == FailureKind::kConnectionRefused, once = trouble == FailureKind::kSingleTimeout;
     auto& last = suspected_[id];
     if (last.at != 0 && now - last.at < replication::kPeerTimeoutMs && (once || !last.once)) return;
     if (!once && (last.at == 0 || last.once))
       log_.say("Database " + id.value + (refused ? " refuses connections." : " gives no answers."));
     last = {now, once};
-    if (!feed_.up()) return;
+    if (!agent_link_.up()) return;
     Json m{{"t", "sus"}, {"id", id.value}, {"r", refused}};
     if (once) m["once"] = true;
-    feed_.send(m);
+    agent_link_.send(m);
   }
-  void pay(const std::string& tenant, quota::Rights want) override {
-    if (!feed_.up()) return;
-    feed_.send(Json{{"t", "pay"},
-                    {"s", tenant},
-                    {"me", life_},
-                    {"known", engine_.known(tenant, news_.core())},
-                    {"want", want}});
+  void request_quota(const std::string& tenant, quota::Rights want) override {
+    if (!agent_link_.up()) return;
+    agent_link_.send(Json{{"t", "pay"},
+                          {"s", tenant},
+                          {"me", incarnation_},
+                          {"known", engine_.known_quota(tenant, control_feed_.controller())},
+                          {"want", want}});
   }
-  void sound(const std::string& service) override {
-    feed_.send(Json{{"t", "sound"}, {"s", service}, {"at", loop_.now()}});
+  void request_position(const std::string& service) override {
+    agent_link_.send(Json{{"t", "sound"}, {"s", service}, {"at", loop_.now()}});
   }
 
  private:
@@ -174,29 +176,29 @@
     SessionId id = ++last_session_;
     auto conn = std::make_shared<LineConnection>(std::move(socket), kMaxMessageBytes);
     clients_[id] = conn;
-    engine_.client_open(id);
+    engine_.on_client_connected(id);
     conn->start({[this, id](std::string_view line) {
                    touch();
-                   engine_.client_line(id, line);
-                   if (pressed(id)) hold_back(id);
+                   engine_.on_client_line(id, line);
+                   if (has_backlog(id)) hold_back(id);
                  },
                  [this, id](LineConnection::End end) {
                    touch();
-                   if (end == LineConnection::End::kTooLong) engine_.client_too_long(id);
+                   if (end == LineConnection::End::kTooLong) engine_.on_client_line_too_long(id);
                    clients_.erase(id);
-                   engine_.client_closed(id);
+                   engine_.on_client_closed(id);
                    loop_.rearm();
                  },
                  [this, id] {
-                   engine_.client_read(id);
+                   engine_.on_client_read_end(id);
                    loop_.rearm();
                  }});
   }
 
   // A client that sends ahead, or does not read, is not read until it has caught up.
-  bool pressed(SessionId id) {
+  bool has_backlog(SessionId id) {
     auto it = clients_.find(id);
-    return it != clients_.end() && (engine_.pressed(id) || it->second->queued() > kBackpressureBytes);
+    return it != clients_.end() && (engine_.has_backlog(id) || it->second->queued() > kBackpressureBytes);
   }
   void hold_back(SessionId id) {
     clients_[id]->pause(true);
@@ -205,7 +207,7 @@
   }
   void let_on() {
     std::erase_if(held_back_, [this](SessionId id) {
-      if (pressed(id)) return false;
+      if (has_backlog(id)) return false;
       if (auto it = clients_.find(id); it != clients_.end()) it->second->pause(false);
       return true;
     });
@@ -216,28 +218,28 @@
     servers_[id] = conn;
     conn->start({[this, id](std::string_view line) {
                    touch();
-                   engine_.server_line(id, line);
+                   engine_.on_database_line(id, line);
                  },
                  [this, id](LineConnection::End) {
                    touch();
                    servers_.erase(id);
-                   engine_.server_down(id, false, false);
+                   engine_.on_connection_lost(id, false, false);
                    loop_.rearm();
                  },
                  [this, id] {
-                   engine_.server_read(id);
+                   engine_.on_database_read_end(id);
                    loop_.rearm();
                  }});
-    engine_.server_up(id);
+    engine_.on_connection_up(id);
   }
 
   void renew() {
     touch();
-    if (!feed_.up()) return;
-    told_ = engine_.acknowledged();
+    if (!agent_link_.up()) return;
+    told_ = engine_.acknowledged_sequence();
     Json m{{"t", "renew"}, {"at", loop_.now()}, {"ack", told_}};
-    if (Json met = engine_.take_positions(); !met.is_null()) m["met"] = std::move(met);
-    feed_.send(m);
+    if (Json met = engine_.take_observed_positions(); !met.is_null()) m["met"] = std::move(met);
+    agent_link_.send(m);
     // An acknowledgement that waits for running work follows as soon as that is over.
     if (told_ < engine_.cluster().sequence() && !watching_) watch();
   }
@@ -247,7 +249,7 @@
     loop_.timers().at(loop_.now() + kReconnectMs / 5, [this] {
       watching_ = false;
       touch();
-      if (engine_.acknowledged() > told_)
+      if (engine_.acknowledged_sequence() > told_)
         renew();
       else if (told_ < engine_.cluster().sequence())
         watch();
@@ -258,7 +260,7 @@
   void on_feed(std::string_view line) {
     touch();
     bool was = engine_.ready();
-    if (!news_.hear(loop_.now(), line)) return;
+    if (!control_feed_.handle_line(loop_.now(), line)) return;
     if (!was && engine_.ready())
       log_.say("Ready with configuration " + std::to_string(engine_.cluster().configuration().revision) +
                ".");
@@ -270,19 +272,19 @@
   // it.
   void leave() {
     touch();
-    if (engine_.leaving()) return;
+    if (engine_.shutting_down()) return;
     log_.say("Asked to end: unready from now on.");
-    engine_.leave();
+    engine_.begin_shutdown();
     const ExitSchedule schedule = ExitSchedule::of(settings_.grace_ms);
     const Millis now = loop_.now();
     stop_taking_at_ = now + schedule.stop_taking_after;
     exit_step(now + schedule.close_idle_after, "close idle", [this] {
-      engine_.close_idle();
+      engine_.close_idle_sessions();
       front_->close();
       end_if_empty();
     });
-    exit_step(stop_taking_at_, "stop taking", [this] { engine_.stop_taking(); });
-    exit_step(now + schedule.give_up_after, "give up", [this] { engine_.give_up(); });
+    exit_step(stop_taking_at_, "stop taking", [this] { engine_.stop_accepting_statements(); });
+    exit_step(now + schedule.give_up_after, "give up", [this] { engine_.abort_sessions(); });
     exit_step(now + schedule.end_after, "end", [this] { loop_.stop(); });
     loop_.rearm();
   }
@@ -306,7 +308,7 @@
   // Once no session is left, and the last answers have reached their clients.
   void end_if_empty() {
     std::erase_if(ending_, [](const LineConnection::Ptr& connection) { return !connection->open(); });
-    if (engine_.sessions() == 0 && ending_.empty()) {
+    if (engine_.session_count() == 0 && ending_.empty()) {
       log_.say("All sessions have ended.");
       return loop_.stop();
     }
@@ -318,7 +320,7 @@
   Settings settings_;
   EventLoop loop_;
   pooler::Engine engine_;
-  pooler::News news_{engine_};
+  pooler::ControlFeed control_feed_{engine_};
   std::unique_ptr<HttpServer> ready_;
   std::unique_ptr<Acceptor> front_;
   std::unordered_map<SessionId, LineConnection::Ptr> clients_;
@@ -332,15 +334,15 @@
   std::map<InstanceId, Told> suspected_;
   std::set<SessionId> held_back_;
   SessionId last_session_ = 0;
-  const std::string life_ =
+  const std::string incarnation_ =
       std::to_string(std::uint64_t(std::random_device{}()) << 32 | std::random_device{}());
-  AgentLink feed_{loop_,
-                  settings_.agent_endpoint(),
-                  {[this](std::string_view line) { on_feed(line); },
-                   [this] {
-                     news_.linked(loop_.now());
-                     renew();
-                   }}};
+  AgentLink agent_link_{loop_,
+                        settings_.agent_endpoint(),
+                        {[this](std::string_view line) { on_feed(line); },
+                         [this] {
+                           control_feed_.on_link_up(loop_.now());
+                           renew();
+                         }}};
   std::uint64_t told_ = 0;
   bool watching_ = false;
   Millis stop_taking_at_ = 0;  // of a process that was asked to end
--- a/tests/pooler/engine_answers_test.cc
+++ b/tests/pooler/engine_answers_test.cc
@@ -42,7 +42,7 @@
   q.connect(1);
   q.say(1, "QUERY a1 FETCH k");
   const ConnId id = q.at("a1");
-  q.engine.client_closed(1);
+  q.engine.on_client_closed(1);
   q.pass(200);
   EXPECT_TRUE(q.lines[id].open) << "most end soon, and the connection is kept";
   q.pass(290);
@@ -104,7 +104,7 @@
   q.say(1, "QUERY w STORE k v");
   ConnId id = q.at("w");
   const std::string row = "DATAROW " + std::string(1 << 20, 'x');
-  for (int i = 0; i < 20 && q.lines[id].open; ++i) q.engine.server_line(id, row);
+  for (int i = 0; i < 20 && q.lines[id].open; ++i) q.engine.on_database_line(id, row);
   EXPECT_FALSE(q.lines[id].open);
   EXPECT_TRUE(q.news(1).starts_with("STMTERR UNKNOWN"));
 }
@@ -127,14 +127,14 @@
   q.say(1, "QUERY w STORE k v");
   ConnId id = q.at("w");
   q.lines[id].open = false;
-  q.engine.server_down(id, false, false);
+  q.engine.on_connection_lost(id, false, false);
   EXPECT_TRUE(q.news(1).starts_with("STMTERR UNKNOWN"));
   q.pass(2000);
   EXPECT_EQ(count("QUERY w"), 1u);
   q.say(2, "QUERY r FETCH k");
   id = q.at("r");
   q.lines[id].open = false;
-  q.engine.server_down(id, false, false);
+  q.engine.on_connection_lost(id, false, false);
   EXPECT_TRUE(q.answer_to("r", {"DATAROW x", "COMPLETE 7.1", kRest}));
   EXPECT_NE(q.news(2).find("COMPLETE 7.1"), std::string::npos);
 }
@@ -147,7 +147,7 @@
   const ConnId id = q.at("- CONFIGURE");
   ASSERT_NE(id, 0u);
   q.lines[id].open = false;
-  q.engine.server_down(id, false, false);
+  q.engine.on_connection_lost(id, false, false);
   EXPECT_EQ(count("QUERY w"), 0u);
   q.by_hand = false;
   EXPECT_TRUE(q.answer_to("w", {"COMPLETE 7.1", kRest}));
@@ -162,7 +162,7 @@
   q.pass(801);
   EXPECT_TRUE(q.news(1).starts_with("STMTERR UNKNOWN"));
   EXPECT_FALSE(q.lines[id].open);
-  for (auto* line : {"COMPLETE 7.1", "IDLE I 1.2"}) q.engine.server_line(id, line);
+  for (auto* line : {"COMPLETE 7.1", "IDLE I 1.2"}) q.engine.on_database_line(id, line);
   EXPECT_EQ(q.news(1), "");
 }
 
@@ -175,7 +175,7 @@
   q.say(1, "QUERY c COMMIT");
   ConnId id = q.at("c");
   q.lines[id].open = false;
-  q.engine.server_down(id, false, false);
+  q.engine.on_connection_lost(id, false, false);
   EXPECT_TRUE(q.news(1).starts_with("STMTERR UNKNOWN"));
   EXPECT_EQ(q.at("c"), 0u);
 }
@@ -215,7 +215,7 @@
   q.connect(1), q.connect(2);
   q.say(1, "QUERY a FETCH k");
   ConnId id = q.at("a");
-  q.engine.client_closed(1);
+  q.engine.on_client_closed(1);
   q.say(2, "QUERY b FETCH k");
   EXPECT_EQ(q.at("b"), 0u) << "written before the answer to another";
   q.lines[id].heard.clear();
@@ -231,7 +231,7 @@
   q.connect(1);
   q.say(1, "QUERY a FETCH k");
   ConnId id = q.at("a");
-  q.engine.client_closed(1);
+  q.engine.on_client_closed(1);
   q.pass(kServerConnectMs + 1);
   EXPECT_FALSE(q.lines[id].open);
 }
@@ -244,7 +244,7 @@
     w.say(1, "QUERY s STORE k v");
     ASSERT_TRUE(w.answer_to("s", {"COMPLETE 7.1", "IDLE T 1.2"}));
     w.by_hand = true;
-    w.engine.client_closed(1);
+    w.engine.on_client_closed(1);
     w.say(2, "QUERY r FETCH k");
     ConnId id = w.at("- ROLLBACK");
     ASSERT_NE(id, 0u);
@@ -280,7 +280,7 @@
       w.pass(801);
       EXPECT_FALSE(w.lines[id].open);
     } else {  // the borrower leaves before it is confirmed: the next one has it confirmed for itself
-      w.engine.client_closed(2);
+      w.engine.on_client_closed(2);
       w.lines[id].heard.clear();
       w.read(id, {"COMPLETE -", kRest});
       w.say(3, "QUERY d FETCH k");
@@ -407,9 +407,9 @@
   q.connect(1);
   q.say(1, "QUERY a FETCH k");
   ASSERT_TRUE(q.answer_to("a", {"COMPLETE 7.1", kRest}));
-  for (Millis rested = 0; rested < 15000 * 4 / 5 + 100; rested += kShedIntervalMs) {
-    q.pass(kShedIntervalMs);
-    q.engine.shed_idle();
+  for (Millis rested = 0; rested < 15000 * 4 / 5 + 100; rested += kIdleCheckIntervalMs) {
+    q.pass(kIdleCheckIntervalMs);
+    q.engine.close_idle_connections();
   }
   EXPECT_FALSE(q.ended.count(1));
   q.news(1);
@@ -430,20 +430,21 @@
   EXPECT_NE(q.news(1).find("STMTERR MALFORMED"), std::string::npos);
   q.connect(2);
   q.say(2, "QUERY a FETCH k");
-  EXPECT_FALSE(q.engine.pressed(2));
+  EXPECT_FALSE(q.engine.has_backlog(2));
   q.say(2, "QUERY b STORE k " + std::string(kBackpressureBytes, 'x'));
-  EXPECT_TRUE(q.engine.pressed(2));
+  EXPECT_TRUE(q.engine.has_backlog(2));
 }
 
 // --- former links and lives -------------------------------------------------------------
 
 TEST_F(PoolerAnswers, GrantsOfAFormerLinkAreVoid) {
   ManualDatabases w;
-  pooler::News news(w.engine);
+  pooler::ControlFeed news(w.engine);
   w.feed();
-  news.linked(w.now);
+  control_feed.on_link_up(w.now);
   auto grant = [&](Millis at, Millis ms) {
-    news.hear(w.now, Json{{"t", "grant"}, {"at", at}, {"ms", ms}, {"k", w.number}, {"n", 1}}.dump());
+    control_feed.handle_line(w.now,
+                             Json{{"t", "grant"}, {"at", at}, {"ms", ms}, {"k", w.number}, {"n", 1}}.dump());
   };
   w.connect(1);
   grant(w.now - 100, 1000);
@@ -460,13 +461,13 @@
 TEST_F(PoolerAnswers, PositionsOfAFormerLinkAreVoid) {
   for (bool former : {true, false}) {
     ManualDatabases w;
-    pooler::News news(w.engine);
+    pooler::ControlFeed news(w.engine);
     w.feed(false, "db1");  // db0 is the replica at home
     w.lease();
-    news.linked(w.now);
+    control_feed.on_link_up(w.now);
     w.pass(50);
     Json depth{{"t", "depth"}, {"s", "s"}, {"at", w.now - (former ? 51 : 10)}, {"p", "9.9"}, {"age", 1}};
-    news.hear(w.now, depth.dump());
+    control_feed.handle_line(w.now, depth.dump());
     w.connect(1, "bound");
     w.say(1, "QUERY r FETCH k");
     EXPECT_NE(w.at("r"), 0u);
--- a/tests/pooler/engine_cluster.h
+++ b/tests/pooler/engine_cluster.h
@@ -20,7 +20,7 @@
   bool failovers = false, lapses = false;
 };
 
-class World : public pooler::Port {
+class World : public pooler::EngineCallbacks {
  public:
   World(std::uint32_t seed, Guards g) : rng(seed), guards(g), engine(*this, timers, "z1", 7000, seed) {
     engine.set_time(now);
@@ -43,7 +43,7 @@
     }
     lead(0, false, 5);
     history.push_back({0, {1, 0}});
-    engine.lease(now + 1500, 5, 1);
+    engine.extend_lease(now + 1500, 5, 1);
   }
 
   // --- the rules' books -----------------------------------------------------------
@@ -127,14 +127,14 @@
     if (chance(0.05)) commit({}, -1, true);  // commits that come in over other nodes
     for (auto& d : dbs)
       if (chance(0.01)) d.lag = 1 + pick(int(guards.lag_most));
-    if (now % 300 == 0 && now >= lapse_until) engine.lease(now + 1500, number, 1);
+    if (now % 300 == 0 && now >= lapse_until) engine.extend_lease(now + 1500, number, 1);
     if (guards.lapses && chance(0.0005)) lapse_until = now + 2500;
     if (guards.failovers) control();
     if (guards.reset > 0 && chance(guards.reset)) {
       for (auto& [id, l] : lines)
         if (l.open && chance(0.5)) {
           l.open = false;
-          later(now + 1, [this, id = id] { engine.server_down(id, false, false); });
+          later(now + 1, [this, id = id] { engine.on_connection_lost(id, false, false); });
         }
     }
   }
@@ -144,7 +144,7 @@
     number = n;
     PrimaryAssignment l{{dbs[db].name}, hold, planned, dbs[db].term, false};
     rows.push_back({primary_key("s"), encode_primary(l), n, false});
-    engine.feed(n, rows);
+    engine.apply_update(n, rows);
   }
   void control() {
     if (phase == 0 && chance(0.001)) {
@@ -155,8 +155,9 @@
         ++number;  // the node is cut off: it hears nothing of this
       else
         lead(primary, true, number + 1);
-    } else if (phase == 1 && ((engine.acknowledged() >= number && engine.cluster().sequence() >= number) ||
-                              now > std::max(held_at, lapse_until) + 1600)) {
+    } else if (phase == 1 &&
+               ((engine.acknowledged_sequence() >= number && engine.cluster().sequence() >= number) ||
+                now > std::max(held_at, lapse_until) + 1600)) {
       phase = 2;
       int next = (primary + 1 + pick(2)) % 3;
       auto& old = dbs[primary];
@@ -186,14 +187,14 @@
   }
 
   // --- Port ---------------------------------------------------------------------------
-  void to_client(SessionId id, std::string bytes) override {
+  void send_to_client(SessionId id, std::string bytes) override {
     later(now + 1, [this, id, bytes = std::move(bytes)] {
       for (auto& c : clients)
         if (c.session == id && c.connected)
           for (auto& line : split(bytes)) client_hears(c, line);
     });
   }
-  void end_client(SessionId id) override {
+  void close_client(SessionId id) override {
     later(now + 1, [this, id] {
       for (auto& c : clients)
         if (c.session == id && c.connected) {
@@ -202,20 +203,20 @@
         }
     });
   }
-  void open_server(ConnId id, const Endpoint& at) override {
+  void open_connection(ConnId id, const Endpoint& at) override {
     lines[id].db = at.port - 1000;
     later(now + 3, [this, id] {
-      if (lines[id].open) engine.server_up(id);
+      if (lines[id].open) engine.on_connection_up(id);
     });
   }
-  void close_server(ConnId id, bool) override { lines[id].open = false; }
-  void suspect(const InstanceId&, Trouble) override {}
-  void cleared(const InstanceId&) override {}
-  void full(const InstanceId&) override {}
-  void pay(const std::string&, quota::Rights) override {}
-  void sound(const std::string&) override {}
-  void slow(const InstanceId&) override {}
-  void to_server(ConnId id, std::string bytes) override {
+  void close_connection(ConnId id, bool) override { lines[id].open = false; }
+  void report_failure(const InstanceId&, FailureKind) override {}
+  void report_recovered(const InstanceId&) override {}
+  void report_connection_limit(const InstanceId&) override {}
+  void request_quota(const std::string&, quota::Rights) override {}
+  void request_position(const std::string&) override {}
+  void report_slow_primary(const InstanceId&) override {}
+  void send_to_database(ConnId id, std::string bytes) override {
     auto& l = lines[id];
     l.last_in = std::max(l.last_in, now + 1 + pick(3));
     later(l.last_in, [this, id, bytes = std::move(bytes)] {
@@ -229,8 +230,8 @@
     l.last_out = std::max(l.last_out, now + 1 + pick(8));
     later(l.last_out, [this, id, text = std::move(text)] {
       for (auto& line : split(text))
-        if (lines[id].open) engine.server_line(id, line);
-      engine.server_read(id);
+        if (lines[id].open) engine.on_database_line(id, line);
+      engine.on_database_read_end(id);
     });
   }
   static std::vector<std::string> split(const std::string& s) {
--- a/tests/pooler/engine_exit_test.cc
+++ b/tests/pooler/engine_exit_test.cc
@@ -13,9 +13,9 @@
     databases.lease();
   }
   void leave() {
-    databases.engine.leave();
-    databases.engine.close_idle();
-    databases.engine.stop_taking();
+    databases.engine.begin_shutdown();
+    databases.engine.close_idle_sessions();
+    databases.engine.stop_accepting_statements();
   }
   bool reached(const std::string& statement) const {
     return std::any_of(databases.written.begin(), databases.written.end(),
@@ -108,10 +108,10 @@
   databases.connect(1);
   databases.say(1, "QUERY b BEGIN");
   begin(2, "a1");
-  databases.engine.leave();
-  databases.engine.close_idle();
+  databases.engine.begin_shutdown();
+  databases.engine.close_idle_sessions();
   EXPECT_TRUE(databases.ended.empty()) << "transactions have half of the grace period";
-  databases.engine.stop_taking();
+  databases.engine.stop_accepting_statements();
   EXPECT_TRUE(databases.ended.count(1));
   databases.pass(500);
   EXPECT_FALSE(databases.ended.count(2)) << "a database's silence is no reason to end an answer sooner";
@@ -137,13 +137,13 @@
     for (auto& line : lines) one.say(1, line);
     ASSERT_NE(one.at("w"), 0u) << what;
     one.news(1);
-    one.engine.leave();
-    one.engine.close_idle();
-    one.engine.stop_taking();
-    one.engine.give_up();
+    one.engine.begin_shutdown();
+    one.engine.close_idle_sessions();
+    one.engine.stop_accepting_statements();
+    one.engine.abort_sessions();
     EXPECT_TRUE(one.news(1).starts_with(answer)) << what;
     EXPECT_TRUE(one.ended.count(1)) << what;
-    EXPECT_EQ(one.engine.sessions(), 0u) << what;
+    EXPECT_EQ(one.engine.session_count(), 0u) << what;
   }
 }
 
@@ -154,7 +154,7 @@
   ASSERT_NE(databases.at("a2"), 0u);
   databases.news(1);
   leave();
-  databases.engine.give_up();
+  databases.engine.abort_sessions();
   EXPECT_TRUE(databases.news(1).starts_with("STMTERR UNKNOWN"));
 }
 
@@ -165,7 +165,7 @@
   databases.say(1, "QUERY a2 STORE k v");
   databases.news(1);
   leave();
-  databases.engine.give_up();
+  databases.engine.abort_sessions();
   const std::string told = databases.news(1);
   EXPECT_TRUE(told.starts_with("STMTERR THROTTLED")) << told;
   EXPECT_NE(told.find("STMTERR THROTTLED", 1), std::string::npos) << "so is what waits behind it: " << told;
--- a/tests/pooler/engine_fuzz_test.cc
+++ b/tests/pooler/engine_fuzz_test.cc
@@ -201,11 +201,11 @@
     SessionId wild = 1;
     for (int n = 0; n < 120; ++n) {
       if (q.ended.count(wild) || wild == 1) {
-        q.engine.client_open(++wild);
+        q.engine.on_client_connected(++wild);
         if (b.pick(4)) q.say(wild, "CONNECT prim a");
       }
       int lines = 1 + b.pick(3);
-      for (int k = 0; k < lines && !q.engine.pressed(wild); ++k)
+      for (int k = 0; k < lines && !q.engine.has_backlog(wild); ++k)
         q.say(wild, one_line(b.pick(5) ? b.mutated(good[b.pick(int(std::size(good)))]) : b.random(200)));
       if (b.pick(30) == 0) q.say(wild, "QUERY z STORE k " + std::string(100000, 'x'));
       const std::string id = "mine" + std::to_string(n);
@@ -214,7 +214,7 @@
       ASSERT_EQ(q.news(1), "DATAROW of-" + id + "\r\nCOMPLETE st-" + id + "\r\nIDLE I -\r\n")
           << "round " << i;
       ASSERT_LE(q.news(wild).size(), 4096u);
-      if (b.pick(10) == 0) q.engine.client_closed(wild), q.ended.insert(wild);
+      if (b.pick(10) == 0) q.engine.on_client_closed(wild), q.ended.insert(wild);
     }
     EXPECT_FALSE(q.ended.count(1));
   }
@@ -232,8 +232,8 @@
     return dot != std::string::npos &&
            s.substr(dot + 1) == std::to_string(std::hash<std::string>()(s.substr(0, dot)));
   }
-  void to_server(ConnId id, std::string bytes) override {
-    ManualDatabases::to_server(id, bytes);
+  void send_to_database(ConnId id, std::string bytes) override {
+    ManualDatabases::send_to_database(id, bytes);
     std::string_view rest = lines[id].heard.back();
     if (sql_protocol::take(rest) != "QUERY") return;
     std::string name(sql_protocol::take(rest));
@@ -265,7 +265,7 @@
       for (auto& [s, c] : callers) {
         if (q.ended.erase(s)) c = {};
         if (!c.open) {
-          q.engine.client_closed(s);
+          q.engine.on_client_closed(s);
           q.connect(s, b.pick(2) ? "prim" : "bound");
           q.news(s);
           c.open = true;
@@ -345,12 +345,12 @@
     Ends ends;
     Relay relay(ends, "n", "z");
     ManualDatabases q;
-    pooler::News news(q.engine);
+    pooler::ControlFeed news(q.engine);
     q.feed();
     q.lease(100);
-    news.linked(q.now);
+    control_feed.on_link_up(q.now);
     q.connect(1);
-    q.engine.hear_clock(5, 70000);
+    q.engine.note_controller_clock(5, 70000);
     auto value = [&]() -> Json {
       switch (b.pick(12)) {
         case 0:
@@ -394,7 +394,7 @@
       std::string line = m.dump(-1, ' ', false, Json::error_handler_t::replace);
       if (b.pick(6) == 0) line = b.pick(3) ? one_line(b.mutated(line)) : b.random(80);
       bytes += line.size();
-      news.hear(q.now, line);
+      control_feed.handle_line(q.now, line);
       switch (b.pick(8)) {
         case 0:
           relay.on_proxy_line(line);
@@ -414,7 +414,7 @@
       q.serve();
       for (auto& out : ends.proxy) {
         ASSERT_LE(out.size(), 4 * bytes + 200) << "more is held than ever came in";
-        news.hear(q.now, out.substr(0, out.size() - 1));
+        control_feed.handle_line(q.now, out.substr(0, out.size() - 1));
       }
       ends.proxy.clear();
     }
--- a/tests/pooler/engine_simulation_test.cc
+++ b/tests/pooler/engine_simulation_test.cc
@@ -110,17 +110,17 @@
     c.session = ++last_session;
     c.connected = c.waiting = true;
     c.id = "connect";
-    engine.client_open(c.session);
-    engine.client_line(c.session, std::string("CONNECT ") +
-                                      (c.kind == 'p'   ? "prim"
-                                       : c.kind == 'b' ? "bound"
-                                                       : "own") +
-                                      " me");
+    engine.on_client_connected(c.session);
+    engine.on_client_line(c.session, std::string("CONNECT ") +
+                                         (c.kind == 'p'   ? "prim"
+                                          : c.kind == 'b' ? "bound"
+                                                          : "own") +
+                                         " me");
     return;
   }
   if (chance(guards.leave * 0.05)) {
     if (c.waiting) lost_answer(c);
-    engine.client_closed(c.session);
+    engine.on_client_closed(c.session);
     reset_client(c);
     return;
   }
@@ -169,7 +169,7 @@
   Asked a{c.index, int(c.session), c.tx ? c.tx_began : now, text, shape, c.values, c.tx, c.kind, write};
   asked[c.id] = a;
   if (write && c.tx) c.tx_ids.push_back(c.id);
-  engine.client_line(c.session, "QUERY " + c.id + " " + text);
+  engine.on_client_line(c.session, "QUERY " + c.id + " " + text);
 }
 
 void World::client_hears(Client& c, std::string_view line) {
--- a/tests/pooler/engine_test.cc
+++ b/tests/pooler/engine_test.cc
@@ -8,7 +8,7 @@
 
 TEST(Engine, SessionsWaitForTheFirstFeedAndLease) {
   ManualDatabases q;
-  q.engine.client_open(1);
+  q.engine.on_client_connected(1);
   q.say(1, "CONNECT prim a");
   EXPECT_EQ(q.told[1], "") << "a database may exist that is not known yet";
   q.feed();
@@ -16,7 +16,7 @@
   q.lease();
   EXPECT_EQ(q.told[1], "IDLE I -\r\n");
   ManualDatabases late;
-  late.engine.client_open(1);
+  late.engine.on_client_connected(1);
   late.say(1, "CONNECT prim a");
   late.pass(kInitialFeedWaitMs + 1);
   EXPECT_TRUE(late.told[1].starts_with("STMTERR THROTTLED")) << late.told[1];
@@ -25,7 +25,7 @@
 
 TEST(Engine, ASessionThatWaitedForALeaseIsGreetedOnce) {
   ManualDatabases q;
-  q.engine.client_open(1);
+  q.engine.on_client_connected(1);
   q.say(1, "CONNECT prim a");
   q.feed();
   q.pass(kInitialFeedWaitMs + 1);  // the lease is late: the session is greeted without it
@@ -38,16 +38,16 @@
   ManualDatabases q;
   q.feed();
   q.lease();
-  q.engine.client_open(1);
+  q.engine.on_client_connected(1);
   q.say(1, "CONNECT prim a");
   q.say(1, "QUERY x1 STORE k v");
   q.serve();
   q.told[1].clear();
   q.feed(true);  // suspended while the write runs
   q.lease();
-  EXPECT_LT(q.engine.acknowledged(), q.number) << "running work may end for a moment";
+  EXPECT_LT(q.engine.acknowledged_sequence(), q.number) << "running work may end for a moment";
   q.pass(kHandOverDrainMs + 1);
-  EXPECT_EQ(q.engine.acknowledged(), q.number);
+  EXPECT_EQ(q.engine.acknowledged_sequence(), q.number);
   EXPECT_EQ(q.answer("COMPLETE 7.1"), 1);
   EXPECT_TRUE(q.told[1].starts_with("STMTERR UNKNOWN")) << q.told[1];
 }
@@ -57,7 +57,7 @@
   q.feed();
   q.lease(1000);
   for (SessionId id : {1, 2}) {
-    q.engine.client_open(id);
+    q.engine.on_client_connected(id);
     q.say(id, "CONNECT prim a");
   }
   EXPECT_TRUE(q.engine.ready());
@@ -66,9 +66,9 @@
   q.pass(100);
   EXPECT_NE(q.told[1].find("STMTERR THROTTLED"), std::string::npos);
   EXPECT_TRUE(q.ended.count(1)) << "it can be served nowhere but at another node";
-  q.pass(kUnleasedReadyMs);
+  q.pass(kReadyAfterLeaseEndMs);
   EXPECT_FALSE(q.engine.ready());
-  q.engine.shed_idle();
+  q.engine.close_idle_connections();
   EXPECT_TRUE(q.ended.count(2));
   q.lease();
   EXPECT_TRUE(q.engine.ready());
@@ -80,15 +80,15 @@
     q.feed();
     q.lease(100000, scarce ? 60 : 4);
     for (SessionId id : {1, 2}) {
-      q.engine.client_open(id);
+      q.engine.on_client_connected(id);
       q.say(id, "CONNECT prim a");
       q.say(id, "QUERY x FETCH k");
     }
     EXPECT_EQ(q.answer("COMPLETE 7.1"), 1);
     EXPECT_EQ(q.answer("COMPLETE 7.1"), 1);
     EXPECT_EQ(q.open_lines(), scarce ? 1u : 2u);
-    q.pass(kShedIntervalMs);
-    q.engine.shed_idle();
+    q.pass(kIdleCheckIntervalMs);
+    q.engine.close_idle_connections();
     EXPECT_EQ(q.open_lines(), scarce ? 1u : 2u);
   }
   double kept = 0;  // of one that has turned a connection away, by 200 nodes
@@ -96,12 +96,12 @@
     ManualDatabases q(50, lot * 7919);
     q.feed();
     q.lease(100000, 60);
-    q.engine.client_open(1);
+    q.engine.on_client_connected(1);
     q.say(1, "CONNECT prim a");
     q.say(1, "QUERY x FETCH k");
     EXPECT_EQ(q.answer("COMPLETE 7.1"), 1);
-    q.engine.tight({"db0"});
-    q.engine.shed_idle();
+    q.engine.note_connection_limit({"db0"});
+    q.engine.close_idle_connections();
     kept += double(q.open_lines());
   }
   EXPECT_NEAR(kept / 200, kKeptConnectionShare * 46 / 60, 0.1);
@@ -114,18 +114,19 @@
     ManualDatabases q;
     q.feed(false, "db1");  // the lead is elsewhere, db0 is the replica at home
     q.lease();
-    q.engine.hear_clock(5, 70000);
-    q.engine.client_open(1);
+    q.engine.note_controller_clock(5, 70000);
+    q.engine.on_client_connected(1);
     q.say(1, "CONNECT bound a");
     auto read = [&] {
       q.say(1, "QUERY a FETCH k");
-      answered ? q.engine.position_asked("s", q.now - 900, Position{1, 2}) : q.pass(kPositionQueryTimeoutMs);
+      answered ? q.engine.on_position_reply("s", q.now - 900, Position{1, 2})
+               : q.pass(kPositionQueryTimeoutMs);
       return q.answer("COMPLETE 7.1");
     };
     EXPECT_EQ(read(), answered ? 1 : 2);
     EXPECT_EQ(q.asked_depth.size(), 1u);
     if (!answered) continue;
-    q.engine.avoid({"db0"});  // its zone finds it failing
+    q.engine.avoid_reads({"db0"});  // its zone finds it failing
     EXPECT_NE(read(), 1);
     q.pass(kReportedEjectionMs);
     EXPECT_EQ(read(), 1) << "it is tried again";
@@ -137,12 +138,12 @@
     ManualDatabases q(16, 7, "z9");  // no database at home
     q.feed();
     q.lease();
-    q.engine.hear_clock(5, 70000);
-    if (tight) q.engine.tight({"db0"});
-    q.engine.client_open(1);
+    q.engine.note_controller_clock(5, 70000);
+    if (tight) q.engine.note_connection_limit({"db0"});
+    q.engine.on_client_connected(1);
     q.say(1, "CONNECT bound a");
     q.say(1, "QUERY a FETCH k");
-    if (tight) q.engine.position_asked("s", q.now - 900, Position{1, 1});
+    if (tight) q.engine.on_position_reply("s", q.now - 900, Position{1, 1});
     EXPECT_EQ(q.answer("COMPLETE 7.1") == 1, !tight);
   }
 }
@@ -151,7 +152,7 @@
   ManualDatabases q;
   q.feed();
   q.lease();
-  q.engine.client_open(1);
+  q.engine.on_client_connected(1);
   q.say(1, "CONNECT bound a");
   q.say(1, "QUERY a FETCH k");  // nothing is known of the primary's position yet: it is asked
   EXPECT_EQ(q.answer("COMPLETE 7.1"), 1);
@@ -164,7 +165,7 @@
     EXPECT_NE(other, port) << "tried again where it failed";
   }
   EXPECT_GT(failed.size(), 1u) << "all reads went on to the database that fails";
-  Json sights = q.engine.take_sights();
+  Json sights = q.engine.take_health_report();
   ASSERT_FALSE(sights.is_null());
   EXPECT_GE(sights["d"].size(), 1u);
 }
@@ -176,12 +177,12 @@
   q.feed();
   q.lease();
   auto ask = [&](SessionId id) {
-    q.engine.client_open(id);
+    q.engine.on_client_connected(id);
     q.say(id, "CONNECT elsewhere u1");
     return q.told[id];
   };
   EXPECT_NE(ask(1).find("NODATABASE"), std::string::npos);
-  q.engine.lease(q.now + 100000, q.number + 1, 1);
+  q.engine.extend_lease(q.now + 100000, q.number + 1, 1);
   EXPECT_NE(ask(2).find("THROTTLED"), std::string::npos);
   q.feed();
   EXPECT_NE(ask(3).find("NODATABASE"), std::string::npos);
@@ -192,7 +193,7 @@
   q.connect(session);
   q.say(session, "QUERY a STORE k v");
   const bool asked = q.answer("COMPLETE 7.1") != 0;
-  q.engine.client_closed(session);
+  q.engine.on_client_closed(session);
   return asked;
 }
 
@@ -233,7 +234,7 @@
     q.lease();
     q.connect(1);
     q.say(1, "QUERY a STORE k v");
-    q.engine.server_down(q.lines.begin()->first, true, false);  // refused
+    q.engine.on_connection_lost(q.lines.begin()->first, true, false);  // refused
     q.lines.begin()->second.open = false;
     std::size_t trials = 0;
     for (int step = 0; step < 20 && trials < 3; ++step) {
@@ -247,8 +248,8 @@
       }
     }
     EXPECT_EQ(trials, 3u) << error;
-    for (Millis waited = 0; waited < 2 * kMaxProbeIntervalMs; waited += kFirstProbeMs) {
-      q.pass(kFirstProbeMs);
+    for (Millis waited = 0; waited < 2 * kMaxProbeIntervalMs; waited += kFirstProbeDelayMs) {
+      q.pass(kFirstProbeDelayMs);
       q.serve();
     }
     q.say(1, "QUERY b STORE k v");
--- a/tests/pooler/latency_tracker_test.cc
+++ b/tests/pooler/latency_tracker_test.cc
@@ -9,7 +9,7 @@
 bool paced(pooler::LatencyTracker& p, int windows, int n, Millis ms, int some = 0, Millis late = 0) {
   bool slow = false;
   for (int w = 0; w < windows; ++w) {
-    for (int i = 0; i < n; ++i) p.answered(i < some ? late : ms);
+    for (int i = 0; i < n; ++i) p.record(i < some ? late : ms);
     slow = p.close_window();
   }
   return slow;
--- a/tests/pooler/manual_databases.h
+++ b/tests/pooler/manual_databases.h
@@ -10,7 +10,7 @@
 using pooler::ConnId;
 using pooler::SessionId;
 
-struct ManualDatabases : pooler::Port {
+struct ManualDatabases : pooler::EngineCallbacks {
   struct Line {
     Endpoint at;
     std::vector<std::string> heard;  // statements not yet answered
@@ -44,16 +44,16 @@
     }
     rows.push_back(
         {primary_key("s"), encode_primary(PrimaryAssignment{{lead}, hold, true, 1, false}), number, false});
-    engine.feed(number, rows);
+    engine.apply_update(number, rows);
   }
-  void lease(Millis ms = 100000, std::size_t members = 1) { engine.lease(now + ms, number, members); }
+  void lease(Millis ms = 100000, std::size_t members = 1) { engine.extend_lease(now + ms, number, members); }
   void pass(Millis ms) {
     for (Millis end = now + ms; now < end;) {
       engine.set_time(++now);
       timers.run(now);
     }
   }
-  void say(SessionId id, const std::string& line) { engine.client_line(id, line); }
+  void say(SessionId id, const std::string& line) { engine.on_client_line(id, line); }
   // Greets new connections; answers statements of the core's own kind; leaves the clients' to the test.
   void serve() {
     for (bool more = true; more;) {
@@ -63,13 +63,13 @@
         std::string s = l.heard.front();
         if (s.starts_with("CONNECT")) {
           l.heard.erase(l.heard.begin());
-          engine.server_line(id, "IDLE I 1.1");
-          engine.server_read(id);
+          engine.on_database_line(id, "IDLE I 1.1");
+          engine.on_database_read_end(id);
         } else if (s.starts_with("QUERY - ") && !by_hand) {
           l.heard.erase(l.heard.begin());
-          engine.server_line(id, "COMPLETE -");
-          engine.server_line(id, s.find("BEGIN") == std::string::npos ? "IDLE I 1.1" : "IDLE T 1.1");
-          engine.server_read(id);
+          engine.on_database_line(id, "COMPLETE -");
+          engine.on_database_line(id, s.find("BEGIN") == std::string::npos ? "IDLE I 1.1" : "IDLE T 1.1");
+          engine.on_database_read_end(id);
         } else {
           continue;
         }
@@ -85,9 +85,9 @@
       if (l.open && !l.heard.empty()) {
         int port = l.at.port;
         l.heard.erase(l.heard.begin());
-        engine.server_line(id, body);
-        engine.server_line(id, "IDLE I 1.2");
-        engine.server_read(id);
+        engine.on_database_line(id, body);
+        engine.on_database_line(id, "IDLE I 1.2");
+        engine.on_database_read_end(id);
         serve();
         return port;
       }
@@ -96,11 +96,11 @@
   // One read of a connection: these lines, and no more.
   void read(ConnId id, const std::vector<std::string>& lines_read) {
     for (auto& line : lines_read)
-      if (lines[id].open) engine.server_line(id, line);
-    if (lines[id].open) engine.server_read(id);
+      if (lines[id].open) engine.on_database_line(id, line);
+    if (lines[id].open) engine.on_database_read_end(id);
   }
   void connect(SessionId id, const std::string& host = "prim", const std::string& key = "a") {
-    engine.client_open(id);
+    engine.on_client_connected(id);
     say(id, "CONNECT " + host + " " + key);
   }
   // The connection at which the first statement that begins so waits for its answer; 0: none does.
@@ -124,27 +124,27 @@
     return std::size_t(std::count_if(lines.begin(), lines.end(), [](auto& l) { return l.second.open; }));
   }
 
-  void to_client(SessionId id, std::string bytes) override { told[id] += bytes; }
-  void end_client(SessionId id) override { ended.insert(id); }
-  void open_server(ConnId id, const Endpoint& at) override {
+  void send_to_client(SessionId id, std::string bytes) override { told[id] += bytes; }
+  void close_client(SessionId id) override { ended.insert(id); }
+  void open_connection(ConnId id, const Endpoint& at) override {
     lines[id].at = at;
     if (open_lines() > most) return;  // it does not come up
     timers.at(now, [this, id] {
-      if (lines[id].open) engine.server_up(id);
+      if (lines[id].open) engine.on_connection_up(id);
     });
     pass(1);
   }
-  void to_server(ConnId id, std::string bytes) override {
+  void send_to_database(ConnId id, std::string bytes) override {
     written.push_back(bytes.substr(0, bytes.find("\r\n")));
     lines[id].heard.push_back(bytes.substr(0, bytes.find("\r\n")));
   }
-  void close_server(ConnId id, bool) override { lines[id].open = false; }
-  void suspect(const InstanceId&, Trouble) override {}
-  void full(const InstanceId&) override {}
-  void pay(const std::string&, quota::Rights) override {}
-  void sound(const std::string& service) override { asked_depth.push_back(service); }
-  void slow(const InstanceId&) override {}
-  void cleared(const InstanceId&) override {}
+  void close_connection(ConnId id, bool) override { lines[id].open = false; }
+  void report_failure(const InstanceId&, FailureKind) override {}
+  void report_connection_limit(const InstanceId&) override {}
+  void request_quota(const std::string&, quota::Rights) override {}
+  void request_position(const std::string& service) override { asked_depth.push_back(service); }
+  void report_slow_primary(const InstanceId&) override {}
+  void report_recovered(const InstanceId&) override {}
 
   TimerQueue timers;
   Millis now = 10000;
--- a/tests/pooler/session_cluster.cc
+++ b/tests/pooler/session_cluster.cc
@@ -53,22 +53,24 @@
 }
 
 void SessionsWorld::grant() {
-  engine_->hear_clock(life_, now_);
-  engine_->lease(now_ + 950, core_.last_sequence(), 1);
+  engine_->note_controller_clock(life_, now_);
+  engine_->extend_lease(now_ + 950, core_.last_sequence(), 1);
 }
 
-void SessionsWorld::pay(const std::string& tenant, quota::Rights want) {
+void SessionsWorld::request_quota(const std::string& tenant, quota::Rights want) {
   if (chance(t_.lost * 5)) return;
   later(1 + pick(20), [this, tenant, want, life = life_] {
-    if (life == life_) engine_->paid(tenant, "core", given_[tenant] += chance(t_.refuse * 5) ? 0 : want);
+    if (life == life_)
+      engine_->on_quota_granted(tenant, "core", given_[tenant] += chance(t_.refuse * 5) ? 0 : want);
   });
 }
 
-void SessionsWorld::sound(const std::string& service) {
+void SessionsWorld::request_position(const std::string& service) {
   if (chance(t_.lost * 5)) return;
   later(1 + pick(20), [this, service, asked = now_, life = life_] {
     if (life != life_) return;
-    engine_->position_asked(service, asked - 50, chance(0.8) ? std::optional(Position{1, 1}) : std::nullopt);
+    engine_->on_position_reply(service, asked - 50,
+                               chance(0.8) ? std::optional(Position{1, 1}) : std::nullopt);
   });
 }
 
@@ -87,7 +89,7 @@
     auto taken = hold_.apply(Json::parse(line), std::string_view(line).substr(0, line.size() - 1));
     if (taken.forward.empty()) continue;
     Json m = Json::parse(taken.forward);
-    engine_->feed(m["k"], *decode_rows(m["r"]), m.value("whole", false));
+    engine_->apply_update(m["k"], *decode_rows(m["r"]), m.value("whole", false));
   }
 }
 
@@ -125,7 +127,7 @@
   timers_->run(now_);
   for (auto& c : clients_) act(c);
   if (now_ % 300 == 0 && now_ >= lapse_until_) grant();
-  if (now_ % 250 == 0) engine_->shed_idle();
+  if (now_ % 250 == 0) engine_->close_idle_connections();
   if (chance(t_.lapse)) lapse_until_ = now_ + 1500;
   if (chance(t_.stall)) dbs_[std::size_t(pick(3))].still_until = now_ + 20 + pick(1500);
   if (chance(t_.reset) && !lines_.empty()) {
@@ -142,8 +144,8 @@
     if (it->second.open && it->second.owed == 0) {
       pooler::ConnId id = it->first;
       for (auto* line : {"DATAROW r", "COMPLETE stray", "IDLE I 1.1"})
-        if (!chance(0.3)) engine_->server_line(id, line);
-      engine_->server_read(id);
+        if (!chance(0.3)) engine_->on_database_line(id, line);
+      engine_->on_database_read_end(id);
     }
   }
   if (chance(t_.agent)) {  // its new life is told the whole
@@ -153,13 +155,13 @@
   if (!ending_ && chance(t_.pooler)) {
     if (chance(0.5)) return start_pooler();
     ending_ = true;  // in order: what rests ends first, then what is open
-    engine_->leave();
-    engine_->close_idle();
+    engine_->begin_shutdown();
+    engine_->close_idle_sessions();
     later(100 + pick(300), [this, life = life_] {
-      if (life == life_) engine_->stop_taking();
+      if (life == life_) engine_->stop_accepting_statements();
     });
     later(430, [this, life = life_] {
-      if (life == life_) engine_->give_up();
+      if (life == life_) engine_->abort_sessions();
     });
     later(450, [this, life = life_] {
       if (life == life_) start_pooler();
@@ -184,7 +186,7 @@
         PrimaryAssignment{
             {dbs_[std::size_t(primary_)].name}, true, chance(0.5), dbs_[std::size_t(primary_)].term, false}));
   } else if (held_ && (now_ > held_at_ + 1100 ||
-                       (now_ > held_at_ + 50 && engine_->acknowledged() == core_.last_sequence()))) {
+                       (now_ > held_at_ + 50 && engine_->acknowledged_sequence() == core_.last_sequence()))) {
     held_ = false;
     std::uint64_t term = dbs_[std::size_t(primary_)].term + 1;
     int next = (primary_ + 1 + pick(2)) % 3;
@@ -206,28 +208,28 @@
   for (int i = 0; i < 1700; ++i) step();
   EXPECT_GT(served, before + 30) << "after its troubles the node serves hardly anybody";
   for (auto& c : clients_) {
-    if (c.open) engine_->client_closed(c.session);
+    if (c.open) engine_->on_client_closed(c.session);
     gone(c);
     c.next = now_ + 100000;
   }
   for (int i = 0; i < 1300; ++i) step();
-  EXPECT_EQ(engine_->sessions(), 0u);
+  EXPECT_EQ(engine_->session_count(), 0u);
   for (auto& [id, l] : lines_)
     EXPECT_TRUE(!l.open || (l.owed == 0 && l.state == 'I')) << "a connection that nobody uses is not at rest";
 }
 
 // --- the databases -------------------------------------------------------------------
 
-void SessionsWorld::open_server(pooler::ConnId id, const Endpoint& at) {
+void SessionsWorld::open_connection(pooler::ConnId id, const Endpoint& at) {
   auto& l = lines_[id];
   l.db = at.port - 1000;
   l.owed = 1;
   later(1 + pick(3), [this, id, life = life_] {
-    if (life == life_ && lines_[id].open) engine_->server_up(id);
+    if (life == life_ && lines_[id].open) engine_->on_connection_up(id);
   });
 }
 
-void SessionsWorld::to_server(pooler::ConnId id, std::string bytes) {
+void SessionsWorld::send_to_database(pooler::ConnId id, std::string bytes) {
   auto& l = lines_[id];
   EXPECT_TRUE(l.open) << "written to a connection that was closed";
   for (auto& line : split(bytes)) {
@@ -256,7 +258,7 @@
   }
 }
 
-void SessionsWorld::close_server(pooler::ConnId id, bool orderly) {
+void SessionsWorld::close_connection(pooler::ConnId id, bool orderly) {
   auto& l = lines_[id];
   if (!l.open) return;
   l.open = false;
@@ -283,7 +285,7 @@
   }
   later(pick(3), [this, id, life = life_] {
     if (life != life_ || !lines_[id].open) return;
-    engine_->server_down(id, false, false);
+    engine_->on_connection_lost(id, false, false);
     EXPECT_FALSE(lines_[id].open);
   });
 }
@@ -469,8 +471,8 @@
       if (says_not_run(code)) asked_[qid].not_run = true;
     }
     for (auto& line : part)
-      if (lines_[id].open) engine_->server_line(id, line);
-    if (lines_[id].open) engine_->server_read(id);
+      if (lines_[id].open) engine_->on_database_line(id, line);
+    if (lines_[id].open) engine_->on_database_read_end(id);
   };
   std::vector<std::string> head(lines.begin(), lines.begin() + std::ptrdiff_t(std::min(cut, lines.size())));
   lines.erase(lines.begin(), lines.begin() + std::ptrdiff_t(head.size()));
--- a/tests/pooler/session_cluster.h
+++ b/tests/pooler/session_cluster.h
@@ -27,7 +27,7 @@
   return out;
 }
 
-class SessionsWorld : public pooler::Port {
+class SessionsWorld : public pooler::EngineCallbacks {
  public:
   SessionsWorld(std::uint32_t seed, Troubles t);
   void step();
@@ -113,17 +113,17 @@
   void gone(Client& c);
 
   // pooler::Port
-  void to_client(pooler::SessionId, std::string) override;
-  void end_client(pooler::SessionId) override;
-  void open_server(pooler::ConnId, const Endpoint&) override;
-  void to_server(pooler::ConnId, std::string) override;
-  void close_server(pooler::ConnId, bool orderly) override;
-  void suspect(const InstanceId&, Trouble) override {}
-  void sound(const std::string&) override;
-  void pay(const std::string&, quota::Rights) override;
-  void full(const InstanceId&) override {}
-  void slow(const InstanceId&) override {}
-  void cleared(const InstanceId&) override {}
+  void send_to_client(pooler::SessionId, std::string) override;
+  void close_client(pooler::SessionId) override;
+  void open_connection(pooler::ConnId, const Endpoint&) override;
+  void send_to_database(pooler::ConnId, std::string) override;
+  void close_connection(pooler::ConnId, bool orderly) override;
+  void report_failure(const InstanceId&, FailureKind) override {}
+  void request_position(const std::string&) override;
+  void request_quota(const std::string&, quota::Rights) override;
+  void report_connection_limit(const InstanceId&) override {}
+  void report_slow_primary(const InstanceId&) override {}
+  void report_recovered(const InstanceId&) override {}
 
   std::mt19937 rng_;
   Troubles t_;
--- a/tests/pooler/session_simulation_test.cc
+++ b/tests/pooler/session_simulation_test.cc
@@ -7,7 +7,7 @@
 
 // --- the clients ---------------------------------------------------------------------
 
-void SessionsWorld::to_client(pooler::SessionId id, std::string bytes) {
+void SessionsWorld::send_to_client(pooler::SessionId id, std::string bytes) {
   later(1, [this, id, life = life_, bytes = std::move(bytes)] {
     if (life != life_) return;
     for (auto& c : clients_)
@@ -16,7 +16,7 @@
   });
 }
 
-void SessionsWorld::end_client(pooler::SessionId id) {
+void SessionsWorld::close_client(pooler::SessionId id) {
   later(1, [this, id, life = life_] {
     if (life != life_) return;
     for (auto& c : clients_)
@@ -41,13 +41,13 @@
     c.open = true;
     c.asked.push_back({"connect", "", false, false, "", "", {}});
     c.since = now_;
-    engine_->client_open(c.session);
-    engine_->client_line(c.session,
-                         std::string("CONNECT ") + (c.index % 2 ? "primary k" : "bounded k") + c.tenant[0]);
+    engine_->on_client_connected(c.session);
+    engine_->on_client_line(
+        c.session, std::string("CONNECT ") + (c.index % 2 ? "primary k" : "bounded k") + c.tenant[0]);
     return;
   }
   if (chance(t_.vanish)) {
-    engine_->client_closed(c.session);
+    engine_->on_client_closed(c.session);
     return gone(c);
   }
   if (!c.asked.empty()) {
@@ -115,7 +115,7 @@
   if (write && c.tx) c.writes.push_back(id);
   if (c.asked.empty()) c.since = now_;
   c.asked.push_back({id, text, false, false, "", "", {}});
-  engine_->client_line(c.session, "QUERY " + id + " " + text);
+  engine_->on_client_line(c.session, "QUERY " + id + " " + text);
 }
 
 void SessionsWorld::hear(Client& c, std::string_view line) {
