--- a/src/pooler/engine.cc
+++ b/src/pooler/engine.cc
@@ -15,9 +15,9 @@
   return it == sessions_.end() ? nullptr : &it->second;
 }
 
-Engine::Connection* Engine::find_connection(ConnId id) {
-  auto it = servers_.find(id);
-  return it == servers_.end() ? nullptr : &it->second;
+Engine::Connection* Engine::find_connection(ConnectionId id) {
+  auto it = connections_.find(id);
+  return it == connections_.end() ? nullptr : &it->second;
 }
 
 void Engine::on_client_connected(SessionId id) {
@@ -133,7 +133,7 @@
   clear_statement(*s);
   timers_.cancel(s->rest_timer);
   std::erase(waiting_for_state_, id);
-  ConnId conn = s->conn;
+  ConnectionId conn = s->conn;
   sessions_.erase(id);
   callbacks_.close_client(id);
   if (Connection* c = find_connection(conn)) detach_connection(*c);
@@ -288,7 +288,7 @@
   s.state = state;
   s.tx_lost = false;
   if (state == 'I') s.route = nullptr;
-  ConnId conn = s.conn;
+  ConnectionId conn = s.conn;
   s.conn = 0;
   if (Connection* c = find_connection(conn)) detach_connection(*c);
 }
--- a/src/pooler/engine.h
+++ b/src/pooler/engine.h
@@ -18,16 +18,16 @@
 namespace pebblespindle::pooler {
 
 using SessionId = std::uint64_t;
-using ConnId = std::uint64_t;
+using ConnectionId = std::uint64_t;
 
 class EngineCallbacks {
  public:
   virtual ~EngineCallbacks() = default;
   virtual void send_to_client(SessionId, std::string bytes) = 0;
   virtual void close_client(SessionId) = 0;  // after what was sent to it
-  virtual void open_connection(ConnId, const Endpoint&) = 0;
-  virtual void send_to_database(ConnId, std::string bytes) = 0;
-  virtual void close_connection(ConnId, bool orderly) = 0;
+  virtual void open_connection(ConnectionId, const Endpoint&) = 0;
+  virtual void send_to_database(ConnectionId, std::string bytes) = 0;
+  virtual void close_connection(ConnectionId, bool orderly) = 0;
   // How it was met: no answer once where few are asked for, no answers, connections refused.
   enum class FailureKind { kSingleTimeout, kNoAnswers, kConnectionRefused };
   virtual void report_failure(const InstanceId&, FailureKind) = 0;
@@ -61,10 +61,10 @@
   void on_client_line_too_long(SessionId);
   bool has_backlog(SessionId) const;  // so much that it has sent waits for its turn that no more is wanted
 
-  void on_connection_up(ConnId);
-  void on_database_line(ConnId, std::string_view line);
-  void on_database_read_end(ConnId);  // the lines of one read have all been handed in
-  void on_connection_lost(ConnId, bool refused, bool silent);
+  void on_connection_up(ConnectionId);
+  void on_database_line(ConnectionId, std::string_view line);
+  void on_database_read_end(ConnectionId);  // the lines of one read have all been handed in
+  void on_connection_lost(ConnectionId, bool refused, bool silent);
 
   // whole: the rows are all there are, and replace what is held.
   void apply_update(std::uint64_t sequence, std::vector<Row> rows, bool is_snapshot = false);
@@ -177,12 +177,12 @@
     bool tx_answered = false;  // a statement of it has been answered
     bool tx_wrote = false;     // a write of it may have run
     bool tx_lost = false;
-    ConnId conn = 0;
+    ConnectionId conn = 0;
     TimerQueue::Id rest_timer = 0;
     StatementState statement;
   };
   struct Connection {
-    ConnId id = 0;
+    ConnectionId id = 0;
     InstanceId instance;
     std::string service, owner;  // who it was opened for: a tenant, or this node
     bool up = false, established = false;
@@ -202,7 +202,7 @@
     TimerQueue::Id timer = 0;
   };
   struct Pool {
-    std::vector<ConnId> idle;
+    std::vector<ConnectionId> idle;
     std::size_t total = 0, opening = 0;
     std::deque<SessionId> waiting;
     Millis lagging_until = 0, limit_until = 0, limit_reported_until = 0;
@@ -282,9 +282,9 @@
   void acquire_connection(Session& s, const InstanceId& id);
   static const std::string& connection_owner(const Session& s);
   void open_or_evict(const InstanceId& id);
-  void open_connection(const InstanceId& id);
+  void start_connection(const InstanceId& id);
   double fair_share(const InstanceId& id) const;
-  std::size_t max_connections(const InstanceId& id) const;
+  std::size_t connection_share(const InstanceId& id) const;
   Millis idle_timeout(const InstanceId& id, const Pool& p) const;
   void on_connection_limit(const InstanceId& id);
   void assign_idle_connections(const InstanceId& id);
@@ -294,7 +294,7 @@
   void probe_database(const InstanceId& id);
   void unblock_database(const InstanceId& id);
   Millis soft_timeout(const InstanceId& id, const Session& s) const;
-  void close_connection(ConnId id, bool orderly);
+  void discard_connection(ConnectionId id, bool orderly);
   void reroute_waiting(const InstanceId& id);
 
   // execution
@@ -312,7 +312,7 @@
   void abort_statement(Session& s, std::string_view why_not_sent);
   bool may_retry(const Session& s) const;
   Session* find_session(SessionId id);
-  Connection* find_connection(ConnId id);
+  Connection* find_connection(ConnectionId id);
 
   EngineCallbacks& callbacks_;
   TimerQueue& timers_;
@@ -328,7 +328,7 @@
   bool rest_closed_without_lease_ = false, shutting_down_ = false, closing_idle_ = false,
        accepting_statements_ = true;
   std::unordered_map<SessionId, Session> sessions_;
-  std::unordered_map<ConnId, Connection> servers_;
+  std::unordered_map<ConnectionId, Connection> connections_;
   std::map<InstanceId, Pool> pools_;
   QuotaClient quota_client_;
   std::map<std::string, std::deque<SessionId>> waiting_for_quota_;     // by tenant
@@ -350,7 +350,7 @@
   };
   std::map<std::string, RouteCounts> route_counts_;  // in this window
   std::vector<SessionId> waiting_for_state_;         // wait for the first feed
-  ConnId last_conn_ = 0;
+  ConnectionId last_conn_ = 0;
   std::uint64_t sequence_before_suspension_ = 0;
 };
 
--- a/src/pooler/engine_routing.cc
+++ b/src/pooler/engine_routing.cc
@@ -24,8 +24,8 @@
       if (i && i->draining) {
         if (!pools_[id].drain_since) pools_[id].drain_since = drain_start();
       } else if (!i && p != pools_.end()) {
-        std::vector<ConnId> idle = p->second.idle;
-        for (auto c : idle) close_connection(c, true);
+        std::vector<ConnectionId> idle = p->second.idle;
+        for (auto c : idle) discard_connection(c, true);
         reroute_waiting(id);
       }
     } else if (r.key.starts_with("s/")) {
@@ -44,8 +44,8 @@
       if (suspended_since_.empty()) sequence_before_suspension_ = before;
       suspended_since_[service] = now_;
       auto end_open = [this, service, primary = lead->primary, planned = lead->planned] {
-        std::vector<ConnId> conns;
-        for (auto& [cid, c] : servers_)
+        std::vector<ConnectionId> conns;
+        for (auto& [cid, c] : connections_)
           if (c.instance == primary) conns.push_back(cid);
         for (auto cid : conns) {
           Connection* c = find_connection(cid);
@@ -88,7 +88,7 @@
     if (since < 0) continue;
     const PrimaryAssignment* lead = cluster_.primary_of(service);
     if (!lead) continue;
-    for (auto& [id, c] : servers_)
+    for (auto& [id, c] : connections_)
       if (c.instance == lead->primary && c.session != 0) return sequence_before_suspension_;
   }
   return cluster_.sequence();
@@ -323,7 +323,7 @@
 
 // Where connections are scarce a node may open a few, but keeps at most one: what all nodes use at one moment
 // is far below the cap.
-std::size_t Engine::max_connections(const InstanceId& id) const {
+std::size_t Engine::connection_share(const InstanceId& id) const {
   double fair = fair_share(id);
   if (fair == 0) return 0;
   return fair < kScarceConnectionsPerNode ? kMaxScarceConnections : std::size_t(fair);
@@ -349,10 +349,10 @@
   for (auto& [id, p] : pools_) {
     if (p.idle.empty()) continue;
     Millis kept = idle_timeout(id, p);
-    std::vector<ConnId> old;
+    std::vector<ConnectionId> old;
     for (auto c : p.idle)
       if (Connection* x = find_connection(c); x && now_ - x->idle_since >= kept) old.push_back(c);
-    for (auto c : old) close_connection(c, true);
+    for (auto c : old) discard_connection(c, true);
   }
 }
 
@@ -377,7 +377,7 @@
       }
     }
     if (best < p.idle.size()) {
-      ConnId cid = p.idle[best];
+      ConnectionId cid = p.idle[best];
       p.idle.erase(p.idle.begin() + std::ptrdiff_t(best));
       Connection* c = find_connection(cid);
       c->session = s.id;
@@ -406,13 +406,13 @@
 void Engine::open_or_evict(const InstanceId& id) {
   Pool& p = pools_[id];
   if (p.opening >= p.waiting.size() || now_ < p.limit_until) return;
-  if (p.total < max_connections(id))
-    open_connection(id);
+  if (p.total < connection_share(id))
+    start_connection(id);
   else if (!p.idle.empty() && !p.blocked)
-    close_connection(p.idle.front(), true);  // which opens one
+    discard_connection(p.idle.front(), true);  // which opens one
 }
 
-void Engine::open_connection(const InstanceId& id) {
+void Engine::start_connection(const InstanceId& id) {
   const Instance* i = cluster_.instance(id);
   if (!i) return;
   Pool& p = pools_[id];
@@ -426,12 +426,12 @@
   ++p.total;
   ++p.opening;
   c.timer = timers_.at(now_ + kServerConnectMs, [this, cid = c.id] { on_connection_lost(cid, false, true); });
-  ConnId cid = c.id;
-  servers_.emplace(cid, std::move(c));
+  ConnectionId cid = c.id;
+  connections_.emplace(cid, std::move(c));
   callbacks_.open_connection(cid, i->address);
 }
 
-void Engine::on_connection_up(ConnId id) {
+void Engine::on_connection_up(ConnectionId id) {
   Connection* c = find_connection(id);
   if (!c) return;
   c->up = true;
@@ -449,13 +449,14 @@
       p.waiting.erase(p.waiting.begin() + std::ptrdiff_t(turn));
       continue;
     }
-    auto mine = std::find_if(p.idle.rbegin(), p.idle.rend(),
-                             [&](ConnId c) { return find_connection(c)->owner == connection_owner(*s); });
+    auto mine = std::find_if(p.idle.rbegin(), p.idle.rend(), [&](ConnectionId c) {
+      return find_connection(c)->owner == connection_owner(*s);
+    });
     if (mine == p.idle.rend()) {
       ++turn;
       continue;
     }
-    ConnId cid = *mine;
+    ConnectionId cid = *mine;
     p.idle.erase(std::next(mine).base());
     p.waiting.erase(p.waiting.begin() + std::ptrdiff_t(turn));
     s->statement.queued_for = {};
@@ -477,12 +478,13 @@
   InstanceId id = c.instance;
   bool surplus = p.waiting.empty() && fair_share(id) < kScarceConnectionsPerNode &&
                  (!p.idle.empty() || idle_timeout(id, p) == 0);
-  if (!cluster_.instance(id) || p.total > max_connections(id) || surplus) return close_connection(c.id, true);
+  if (!cluster_.instance(id) || p.total > connection_share(id) || surplus)
+    return discard_connection(c.id, true);
   p.idle.push_back(c.id);
   assign_idle_connections(id);
 }
 
-void Engine::close_connection(ConnId id, bool orderly) {
+void Engine::discard_connection(ConnectionId id, bool orderly) {
   Connection* c = find_connection(id);
   if (!c) return;
   Pool& p = pools_[c->instance];
@@ -491,11 +493,11 @@
   if (!c->established && p.opening > 0) --p.opening;
   timers_.cancel(c->timer);
   InstanceId instance = c->instance;
-  servers_.erase(id);
+  connections_.erase(id);
   callbacks_.close_connection(id, orderly);
-  if (p.opening < p.waiting.size() && p.total < max_connections(instance) && now_ >= p.limit_until &&
+  if (p.opening < p.waiting.size() && p.total < connection_share(instance) && now_ >= p.limit_until &&
       !p.blocked)
-    open_connection(instance);
+    start_connection(instance);
 }
 
 // The database takes no more connections for now; those who wait get theirs in a moment, if one is free.
@@ -509,7 +511,7 @@
   }
   timers_.at(p.limit_until, [this, id] {
     Pool& x = pools_[id];
-    if (x.opening < x.waiting.size() && x.total < max_connections(id) && !x.blocked) open_connection(id);
+    if (x.opening < x.waiting.size() && x.total < connection_share(id) && !x.blocked) start_connection(id);
   });
 }
 
@@ -526,7 +528,7 @@
   for (auto sid : q) route_statement(sid);
 }
 
-void Engine::on_connection_lost(ConnId id, bool refused, bool silent) {
+void Engine::on_connection_lost(ConnectionId id, bool refused, bool silent) {
   Connection* c = find_connection(id);
   if (!c) return;
   Pool& p = pools_[c->instance];
@@ -543,7 +545,7 @@
     extend_block(instance);
   }
   SessionId sid = s ? s->id : 0;
-  close_connection(id, false);
+  discard_connection(id, false);
   s = find_session(sid);
   if (s && s->conn == id) {
     s->conn = 0;
@@ -562,8 +564,8 @@
   p.blocked = true;
   if (p.probe_delay == 0) p.blocked_since = now_;
   p.probe_delay = p.probe_delay == 0 ? kFirstProbeDelayMs : std::min(p.probe_delay * 2, kMaxProbeIntervalMs);
-  std::vector<ConnId> idle = p.idle;
-  for (auto c : idle) close_connection(c, false);
+  std::vector<ConnectionId> idle = p.idle;
+  for (auto c : idle) discard_connection(c, false);
   timers_.at(now_ + p.probe_delay, [this, id] { probe_database(id); });
   reroute_waiting(id);
 }
@@ -577,7 +579,7 @@
 void Engine::probe_database(const InstanceId& id) {
   Pool& p = pools_[id];
   if (!p.blocked || !cluster_.instance(id)) return;
-  open_connection(id);
+  start_connection(id);
 }
 
 void Engine::unblock_database(const InstanceId& id) {
--- a/src/pooler/engine_statements.cc
+++ b/src/pooler/engine_statements.cc
@@ -117,7 +117,7 @@
   callbacks_.send_to_database(c.id, sql_protocol::query(w.id, text));
 }
 
-void Engine::on_database_line(ConnId id, std::string_view line) {
+void Engine::on_database_line(ConnectionId id, std::string_view line) {
   Connection* c = find_connection(id);
   if (!c) return;
   auto rest = line;
@@ -136,7 +136,7 @@
       timers_.cancel(c->timer);
       if (p.opening > 0) --p.opening;
       if (p.blocked || p.probe_delay != 0) {
-        ConnId cid = c->id;
+        ConnectionId cid = c->id;
         unblock_database(instance);
         c = find_connection(cid);
         if (!c) return;
@@ -148,7 +148,7 @@
     const bool is_full = word == "STMTERR" && code == "CONNLIMIT";
     if (is_full) on_connection_limit(instance);
     if (!is_full || p.blocked) extend_block(instance);
-    close_connection(id, false);
+    discard_connection(id, false);
     if (p.total == p.opening) reroute_waiting(instance);
     return;
   }
@@ -188,7 +188,7 @@
   return finish_step(c, *idle);
 }
 
-void Engine::on_database_read_end(ConnId id) {
+void Engine::on_database_read_end(ConnectionId id) {
   if (Connection* c = find_connection(id)) c->answered = false;
 }
 
@@ -261,7 +261,7 @@
   if (begin && !c.in_tx)
     return_connection(c);
   else
-    close_connection(c.id, false);
+    discard_connection(c.id, false);
   if (!s) return;
   s->statement.tried.push_back(instance);
   on_statement_lost(*s, false);
@@ -432,19 +432,19 @@
   }
   if (tx && w.verb != Verb::kCommit && !elsewhere) {
     // Its COMMIT has not been asked for, so closing the connection undoes it: the client may begin anew.
-    ConnId conn = s->conn;
+    ConnectionId conn = s->conn;
     s->conn = 0;
-    close_connection(conn, false);
+    discard_connection(conn, false);
     w.attempts = kNoMoreAttempts;
     return on_statement_lost(*s, true);
   }
   if (!elsewhere) return;
   // A read may run twice: try it elsewhere, or there again on another connection.
   if (p.last_answer < w.sent_at) record_result(instance, false, now_ - w.sent_at);
-  ConnId conn = s->conn;
+  ConnectionId conn = s->conn;
   s->conn = 0;
   c->session = 0;
-  close_connection(conn, false);
+  discard_connection(conn, false);
   if (silent) block_database(instance);
   const PrimaryAssignment* l = cluster_.primary_of(s->route->service);
   if (!l || l->primary != instance) w.tried.push_back(instance);
@@ -467,7 +467,7 @@
 void Engine::abort_statement(Session& s, std::string_view why_not_sent) {
   const SessionId id = s.id;
   const bool sent = s.statement.sent && s.conn;
-  close_connection(std::exchange(s.conn, 0), false);
+  discard_connection(std::exchange(s.conn, 0), false);
   Session* session = find_session(id);  // closing a connection may give others their turn
   if (!session || !session->statement.active) return;
   if (!sent) return refuse_statement(*session, "THROTTLED", std::string(why_not_sent));
--- a/src/pooler/pooler.cc
+++ b/src/pooler/pooler.cc
@@ -22,7 +22,7 @@
 namespace pebblespindle {
 namespace {
 
-using pooler::ConnId;
+using pooler::ConnectionId;
 using pooler::SessionId;
 
 class Pooler : public pooler::EngineCallbacks {
@@ -88,7 +88,7 @@
     ending_.push_back(connection);
     connection->close_lingering();  // its client may be about to send
   }
-  void open_connection(ConnId id, const Endpoint& at) override {
+  void open_connection(ConnectionId id, const Endpoint& at) override {
     LineConnection::connect(
         loop_.io(), at, kServerConnectMs, kMaxMessageBytes,
         [this, id](LineConnection::Ptr conn, const asio::error_code& ec) {
@@ -107,11 +107,11 @@
         });
     opening_.insert(id);
   }
-  void send_to_database(ConnId id, std::string bytes) override {
+  void send_to_database(ConnectionId id, std::string bytes) override {
     auto it = servers_.find(id);
     if (it != servers_.end()) it->second->send(bytes);
   }
-  void close_connection(ConnId id, bool orderly) override {
+  void close_connection(ConnectionId id, bool orderly) override {
     auto it = servers_.find(id);
     if (it == servers_.end()) {
       if (opening_.count(id)) abandoned_.insert(id);
@@ -214,7 +214,7 @@
     if (!held_back_.empty()) loop_.timers().at(loop_.now() + kReconnectMs / 4, [this] { let_on(); });
   }
 
-  void start_server(ConnId id, const LineConnection::Ptr& conn) {
+  void start_server(ConnectionId id, const LineConnection::Ptr& conn) {
     servers_[id] = conn;
     conn->start({[this, id](std::string_view line) {
                    touch();
@@ -325,8 +325,8 @@
   std::unique_ptr<Acceptor> front_;
   std::unordered_map<SessionId, LineConnection::Ptr> clients_;
   std::vector<LineConnection::Ptr> ending_;  // of sessions that this side has ended, while it leaves
-  std::unordered_map<ConnId, LineConnection::Ptr> servers_;
-  std::set<ConnId> opening_, abandoned_;
+  std::unordered_map<ConnectionId, LineConnection::Ptr> servers_;
+  std::set<ConnectionId> opening_, abandoned_;
   struct Told {  // to the core, of a database
     Millis at = 0;
     bool once = false;
--- a/tests/pooler/engine_answers_test.cc
+++ b/tests/pooler/engine_answers_test.cc
@@ -41,7 +41,7 @@
 TEST_F(PoolerAnswers, AStatementWhoseClientHasLeftEndsWithinHalfASecond) {
   q.connect(1);
   q.say(1, "QUERY a1 FETCH k");
-  const ConnId id = q.at("a1");
+  const ConnectionId id = q.at("a1");
   q.engine.on_client_closed(1);
   q.pass(200);
   EXPECT_TRUE(q.lines[id].open) << "most end soon, and the connection is kept";
@@ -55,7 +55,7 @@
       Narrow w;
       w.connect(1);
       w.say(1, "QUERY a1 FETCH k");
-      ConnId id = w.at("a1");
+      ConnectionId id = w.at("a1");
       if (later) {
         EXPECT_TRUE(w.answer_to("a1", {"COMPLETE 7.1", kRest}));
         w.read(id, {tail});
@@ -90,7 +90,7 @@
     q.connect(++s);
     q.news(s);
     q.say(s, "QUERY w STORE k v");
-    ConnId id = q.at("w");
+    ConnectionId id = q.at("w");
     ASSERT_TRUE(q.answer_to("w", body));
     EXPECT_TRUE(q.news(s).starts_with("STMTERR UNKNOWN")) << body.front();
     EXPECT_FALSE(q.lines[id].open) << body.front();
@@ -102,7 +102,7 @@
   q.connect(1);
   q.news(1);
   q.say(1, "QUERY w STORE k v");
-  ConnId id = q.at("w");
+  ConnectionId id = q.at("w");
   const std::string row = "DATAROW " + std::string(1 << 20, 'x');
   for (int i = 0; i < 20 && q.lines[id].open; ++i) q.engine.on_database_line(id, row);
   EXPECT_FALSE(q.lines[id].open);
@@ -125,7 +125,7 @@
   q.connect(1), q.connect(2, "bound");
   q.news(1), q.news(2);
   q.say(1, "QUERY w STORE k v");
-  ConnId id = q.at("w");
+  ConnectionId id = q.at("w");
   q.lines[id].open = false;
   q.engine.on_connection_lost(id, false, false);
   EXPECT_TRUE(q.news(1).starts_with("STMTERR UNKNOWN"));
@@ -144,7 +144,7 @@
   q.connect(1);
   q.say(1, "QUERY c CONFIGURE v x");
   q.say(1, "QUERY w STORE k v");
-  const ConnId id = q.at("- CONFIGURE");
+  const ConnectionId id = q.at("- CONFIGURE");
   ASSERT_NE(id, 0u);
   q.lines[id].open = false;
   q.engine.on_connection_lost(id, false, false);
@@ -158,7 +158,7 @@
   q.connect(1);
   q.news(1);
   q.say(1, "QUERY w STORE k v");
-  ConnId id = q.at("w");
+  ConnectionId id = q.at("w");
   q.pass(801);
   EXPECT_TRUE(q.news(1).starts_with("STMTERR UNKNOWN"));
   EXPECT_FALSE(q.lines[id].open);
@@ -173,7 +173,7 @@
   ASSERT_TRUE(q.answer_to("w", {"COMPLETE 7.1", "IDLE T 1.2"}));
   q.news(1);
   q.say(1, "QUERY c COMMIT");
-  ConnId id = q.at("c");
+  ConnectionId id = q.at("c");
   q.lines[id].open = false;
   q.engine.on_connection_lost(id, false, false);
   EXPECT_TRUE(q.news(1).starts_with("STMTERR UNKNOWN"));
@@ -214,7 +214,7 @@
 TEST_F(PoolerAnswers, AConnectionWhoseAnswerIsOnItsWayGoesToNobodyElse) {
   q.connect(1), q.connect(2);
   q.say(1, "QUERY a FETCH k");
-  ConnId id = q.at("a");
+  ConnectionId id = q.at("a");
   q.engine.on_client_closed(1);
   q.say(2, "QUERY b FETCH k");
   EXPECT_EQ(q.at("b"), 0u) << "written before the answer to another";
@@ -230,7 +230,7 @@
 TEST_F(PoolerAnswers, AConnectionWhoseAnswerNeverComesIsClosed) {
   q.connect(1);
   q.say(1, "QUERY a FETCH k");
-  ConnId id = q.at("a");
+  ConnectionId id = q.at("a");
   q.engine.on_client_closed(1);
   q.pass(kServerConnectMs + 1);
   EXPECT_FALSE(q.lines[id].open);
@@ -246,7 +246,7 @@
     w.by_hand = true;
     w.engine.on_client_closed(1);
     w.say(2, "QUERY r FETCH k");
-    ConnId id = w.at("- ROLLBACK");
+    ConnectionId id = w.at("- ROLLBACK");
     ASSERT_NE(id, 0u);
     EXPECT_EQ(w.at("r"), 0u);
     if (confirmed) {
@@ -268,7 +268,7 @@
     ASSERT_TRUE(w.answer_to("a", {"COMPLETE 7.1", kRest}));
     w.by_hand = true;
     w.say(2, "QUERY b FETCH k");
-    ConnId id = w.at("- RESET");
+    ConnectionId id = w.at("- RESET");
     ASSERT_NE(id, 0u) << reset;
     if (reset == "done") {
       ASSERT_TRUE(w.answer_to("- RESET", {"COMPLETE -", kRest}));
@@ -328,7 +328,7 @@
   q.by_hand = true;
   q.say(1, "QUERY b BEGIN");
   q.say(1, "QUERY w STORE k v");
-  const ConnId id = q.at("- BEGIN");
+  const ConnectionId id = q.at("- BEGIN");
   ASSERT_TRUE(q.answer_to("- BEGIN", {"COMPLETE -", kRest}));  // says so, and is in none
   EXPECT_FALSE(q.lines[id].open);
   EXPECT_EQ(count("QUERY w"), 0u);
@@ -342,7 +342,7 @@
   q.say(1, "QUERY c CONFIGURE v x");
   q.say(1, "QUERY r FETCH k");
   q.news(1);
-  const ConnId id = q.at("- CONFIGURE");
+  const ConnectionId id = q.at("- CONFIGURE");
   ASSERT_TRUE(q.answer_to("- CONFIGURE", {"DATAROW other", "COMPLETE -", kRest}));
   EXPECT_FALSE(q.lines[id].open);
   q.by_hand = false;
@@ -360,10 +360,10 @@
   q.connect(1, "prim", "ka"), q.connect(2, "prim", "kb");
   for (SessionId id : {1, 2}) q.say(id, "QUERY p PREPARE n FETCH secret" + std::to_string(id));
   q.say(1, "QUERY a EXECUTE n k");
-  ConnId first = q.at("a");
+  ConnectionId first = q.at("a");
   ASSERT_TRUE(q.answer_to("a", {"COMPLETE 7.1", kRest}));
   q.say(2, "QUERY b EXECUTE n k");
-  ConnId second = q.at("b");
+  ConnectionId second = q.at("b");
   ASSERT_NE(second, 0u);
   EXPECT_NE(second, first);
   EXPECT_EQ(count("CONNECT s bob"), 1u);
@@ -439,7 +439,7 @@
 
 TEST_F(PoolerAnswers, GrantsOfAFormerLinkAreVoid) {
   ManualDatabases w;
-  pooler::ControlFeed news(w.engine);
+  pooler::ControlFeed control_feed(w.engine);
   w.feed();
   control_feed.on_link_up(w.now);
   auto grant = [&](Millis at, Millis ms) {
@@ -461,7 +461,7 @@
 TEST_F(PoolerAnswers, PositionsOfAFormerLinkAreVoid) {
   for (bool former : {true, false}) {
     ManualDatabases w;
-    pooler::ControlFeed news(w.engine);
+    pooler::ControlFeed control_feed(w.engine);
     w.feed(false, "db1");  // db0 is the replica at home
     w.lease();
     control_feed.on_link_up(w.now);
--- a/tests/pooler/engine_cluster.h
+++ b/tests/pooler/engine_cluster.h
@@ -11,7 +11,7 @@
 
 namespace pebblespindle::test {
 
-using pooler::ConnId;
+using pooler::ConnectionId;
 using pooler::SessionId;
 
 struct Guards {  // troubles of one run
@@ -203,20 +203,20 @@
         }
     });
   }
-  void open_connection(ConnId id, const Endpoint& at) override {
+  void open_connection(ConnectionId id, const Endpoint& at) override {
     lines[id].db = at.port - 1000;
     later(now + 3, [this, id] {
       if (lines[id].open) engine.on_connection_up(id);
     });
   }
-  void close_connection(ConnId id, bool) override { lines[id].open = false; }
+  void close_connection(ConnectionId id, bool) override { lines[id].open = false; }
   void report_failure(const InstanceId&, FailureKind) override {}
   void report_recovered(const InstanceId&) override {}
   void report_connection_limit(const InstanceId&) override {}
   void request_quota(const std::string&, quota::Rights) override {}
   void request_position(const std::string&) override {}
   void report_slow_primary(const InstanceId&) override {}
-  void send_to_database(ConnId id, std::string bytes) override {
+  void send_to_database(ConnectionId id, std::string bytes) override {
     auto& l = lines[id];
     l.last_in = std::max(l.last_in, now + 1 + pick(3));
     later(l.last_in, [this, id, bytes = std::move(bytes)] {
@@ -224,7 +224,7 @@
         if (lines[id].open) server_hears(id, line);
     });
   }
-  void reply(ConnId id, std::string text) {
+  void reply(ConnectionId id, std::string text) {
     auto& l = lines[id];
     if (chance(guards.lose_answer)) return;
     l.last_out = std::max(l.last_out, now + 1 + pick(8));
@@ -241,7 +241,7 @@
     return out;
   }
 
-  void server_hears(ConnId id, std::string_view line);
+  void server_hears(ConnectionId id, std::string_view line);
   std::string run_statement(Line& l, Db& d, const std::string& qid, std::string_view text,
                             std::string& error);
   void check_read(const Line& l, const Db& d, const Asked& a);
@@ -265,7 +265,7 @@
   Millis held_at = 0, lapse_until = 0;
   std::vector<std::pair<Millis, Position>> history;
   std::vector<Acked> acks;
-  std::map<ConnId, Line> lines;
+  std::map<ConnectionId, Line> lines;
   std::map<std::string, Asked> asked;
   std::set<std::string> kept, promised;
   std::map<std::string, Position> commit_at;
--- a/tests/pooler/engine_fuzz_test.cc
+++ b/tests/pooler/engine_fuzz_test.cc
@@ -144,7 +144,7 @@
 }
 
 // Databases that do all that is asked, each answer with the name of its statement in it.
-void serve_well(ManualDatabases& q, std::map<ConnId, bool>& tx) {
+void serve_well(ManualDatabases& q, std::map<ConnectionId, bool>& tx) {
   for (bool more = true; more;) {
     more = false;
     for (auto& [conn, l] : q.lines) {
@@ -194,7 +194,7 @@
     ManualDatabases q(16);
     q.feed();
     q.lease(1000000);
-    std::map<ConnId, bool> tx;
+    std::map<ConnectionId, bool> tx;
     q.by_hand = true;
     q.connect(1);
     q.news(1);
@@ -223,7 +223,7 @@
 // Marks each statement of a client by the connection and the turn at which it is written.
 struct Marked : ManualDatabases {
   using ManualDatabases::ManualDatabases;
-  static std::string tag(ConnId conn, int turn) {
+  static std::string tag(ConnectionId conn, int turn) {
     std::string s = std::to_string(conn) + "." + std::to_string(turn);
     return s + "." + std::to_string(std::hash<std::string>()(s));
   }
@@ -232,14 +232,14 @@
     return dot != std::string::npos &&
            s.substr(dot + 1) == std::to_string(std::hash<std::string>()(s.substr(0, dot)));
   }
-  void send_to_database(ConnId id, std::string bytes) override {
+  void send_to_database(ConnectionId id, std::string bytes) override {
     ManualDatabases::send_to_database(id, bytes);
     std::string_view rest = lines[id].heard.back();
     if (sql_protocol::take(rest) != "QUERY") return;
     std::string name(sql_protocol::take(rest));
     if (name != "-") marks[name].insert(tag(id, ++wrote[id]));
   }
-  std::map<ConnId, int> wrote;
+  std::map<ConnectionId, int> wrote;
   std::map<std::string, std::set<std::string>> marks;  // by statement
 };
 
@@ -274,7 +274,7 @@
           q.say(s, "QUERY " + c.mine + (b.pick(2) ? " FETCH k" : " STORE k v"));
         }
       }
-      std::vector<ConnId> open;
+      std::vector<ConnectionId> open;
       for (auto& [conn, l] : q.lines)
         if (l.open) open.push_back(conn);
       for (auto conn : open) {
@@ -345,7 +345,7 @@
     Ends ends;
     Relay relay(ends, "n", "z");
     ManualDatabases q;
-    pooler::ControlFeed news(q.engine);
+    pooler::ControlFeed control_feed(q.engine);
     q.feed();
     q.lease(100);
     control_feed.on_link_up(q.now);
--- a/tests/pooler/engine_simulation_test.cc
+++ b/tests/pooler/engine_simulation_test.cc
@@ -3,7 +3,7 @@
 namespace pebblespindle::test {
 
 // What a database does with a line, and what the rules say of it.
-void World::server_hears(ConnId id, std::string_view line) {
+void World::server_hears(ConnectionId id, std::string_view line) {
   auto& l = lines[id];
   auto& d = dbs[l.db];
   auto word = sql_protocol::take(line);
--- a/tests/pooler/manual_databases.h
+++ b/tests/pooler/manual_databases.h
@@ -7,7 +7,7 @@
 
 namespace pebblespindle::test {
 
-using pooler::ConnId;
+using pooler::ConnectionId;
 using pooler::SessionId;
 
 struct ManualDatabases : pooler::EngineCallbacks {
@@ -94,7 +94,7 @@
     return 0;
   }
   // One read of a connection: these lines, and no more.
-  void read(ConnId id, const std::vector<std::string>& lines_read) {
+  void read(ConnectionId id, const std::vector<std::string>& lines_read) {
     for (auto& line : lines_read)
       if (lines[id].open) engine.on_database_line(id, line);
     if (lines[id].open) engine.on_database_read_end(id);
@@ -104,7 +104,7 @@
     say(id, "CONNECT " + host + " " + key);
   }
   // The connection at which the first statement that begins so waits for its answer; 0: none does.
-  ConnId at(const std::string& statement) {
+  ConnectionId at(const std::string& statement) {
     serve();
     for (auto& [id, l] : lines)
       if (l.open && !l.heard.empty() && l.heard.front().starts_with("QUERY " + statement)) return id;
@@ -112,7 +112,7 @@
   }
   // Answers it in one read.
   bool answer_to(const std::string& statement, const std::vector<std::string>& body) {
-    ConnId id = at(statement);
+    ConnectionId id = at(statement);
     if (!id) return false;
     lines[id].heard.erase(lines[id].heard.begin());
     read(id, body);
@@ -126,7 +126,7 @@
 
   void send_to_client(SessionId id, std::string bytes) override { told[id] += bytes; }
   void close_client(SessionId id) override { ended.insert(id); }
-  void open_connection(ConnId id, const Endpoint& at) override {
+  void open_connection(ConnectionId id, const Endpoint& at) override {
     lines[id].at = at;
     if (open_lines() > most) return;  // it does not come up
     timers.at(now, [this, id] {
@@ -134,11 +134,11 @@
     });
     pass(1);
   }
-  void send_to_database(ConnId id, std::string bytes) override {
+  void send_to_database(ConnectionId id, std::string bytes) override {
     written.push_back(bytes.substr(0, bytes.find("\r\n")));
     lines[id].heard.push_back(bytes.substr(0, bytes.find("\r\n")));
   }
-  void close_connection(ConnId id, bool) override { lines[id].open = false; }
+  void close_connection(ConnectionId id, bool) override { lines[id].open = false; }
   void report_failure(const InstanceId&, FailureKind) override {}
   void report_connection_limit(const InstanceId&) override {}
   void request_quota(const std::string&, quota::Rights) override {}
@@ -155,7 +155,7 @@
   bool by_hand = false;            // also the node's own statements are the test's to answer
   std::vector<std::string> asked_depth;
   pooler::Engine engine;
-  std::map<ConnId, Line> lines;
+  std::map<ConnectionId, Line> lines;
   std::vector<std::string> written;  // to databases, all of it
   std::map<SessionId, std::string> told;
   std::set<SessionId> ended;
--- a/tests/pooler/session_cluster.cc
+++ b/tests/pooler/session_cluster.cc
@@ -134,7 +134,7 @@
     auto it = std::next(lines_.begin(), pick(int(lines_.size())));
     int db = it->second.db;
     bool all = chance(0.2);  // the whole database
-    std::vector<pooler::ConnId> ids;
+    std::vector<pooler::ConnectionId> ids;
     for (auto& [id, l] : lines_)
       if (all ? l.db == db : id == it->first) ids.push_back(id);
     for (auto id : ids) reset_line(id);
@@ -142,7 +142,7 @@
   if (chance(t_.stray) && !lines_.empty()) {  // an answer to nothing
     auto it = std::next(lines_.begin(), pick(int(lines_.size())));
     if (it->second.open && it->second.owed == 0) {
-      pooler::ConnId id = it->first;
+      pooler::ConnectionId id = it->first;
       for (auto* line : {"DATAROW r", "COMPLETE stray", "IDLE I 1.1"})
         if (!chance(0.3)) engine_->on_database_line(id, line);
       engine_->on_database_read_end(id);
@@ -220,7 +220,7 @@
 
 // --- the databases -------------------------------------------------------------------
 
-void SessionsWorld::open_connection(pooler::ConnId id, const Endpoint& at) {
+void SessionsWorld::open_connection(pooler::ConnectionId id, const Endpoint& at) {
   auto& l = lines_[id];
   l.db = at.port - 1000;
   l.owed = 1;
@@ -229,7 +229,7 @@
   });
 }
 
-void SessionsWorld::send_to_database(pooler::ConnId id, std::string bytes) {
+void SessionsWorld::send_to_database(pooler::ConnectionId id, std::string bytes) {
   auto& l = lines_[id];
   EXPECT_TRUE(l.open) << "written to a connection that was closed";
   for (auto& line : split(bytes)) {
@@ -258,7 +258,7 @@
   }
 }
 
-void SessionsWorld::close_connection(pooler::ConnId id, bool orderly) {
+void SessionsWorld::close_connection(pooler::ConnectionId id, bool orderly) {
   auto& l = lines_[id];
   if (!l.open) return;
   l.open = false;
@@ -273,7 +273,7 @@
   });
 }
 
-void SessionsWorld::reset_line(pooler::ConnId id) {
+void SessionsWorld::reset_line(pooler::ConnectionId id) {
   auto& l = lines_[id];
   if (!l.open) return;
   if (chance(0.5)) {
@@ -290,7 +290,7 @@
   });
 }
 
-void SessionsWorld::db_reads(pooler::ConnId id) {
+void SessionsWorld::db_reads(pooler::ConnectionId id) {
   auto& l = lines_[id];
   Millis still = dbs_[std::size_t(l.db)].still_until;
   if (still > now_)
@@ -304,7 +304,7 @@
   }
 }
 
-void SessionsWorld::run(pooler::ConnId id, const std::string& line) {
+void SessionsWorld::run(pooler::ConnectionId id, const std::string& line) {
   auto& l = lines_[id];
   std::string_view rest = line;
   auto word = sql_protocol::take(rest);
@@ -414,7 +414,7 @@
 
 // An answer sets out. What may befall it: it comes late or never, breaks off, comes twice, has something
 // behind it, or does not fit.
-void SessionsWorld::reply(pooler::ConnId id, std::vector<std::string> lines, const std::string& qid,
+void SessionsWorld::reply(pooler::ConnectionId id, std::vector<std::string> lines, const std::string& qid,
                           const std::string& code) {
   if (!lines_[id].open) return;
   std::size_t whole = lines.size();
@@ -454,7 +454,7 @@
   deliver(id, std::move(lines), qid, code, whole);
 }
 
-void SessionsWorld::deliver(pooler::ConnId id, std::vector<std::string> lines, const std::string& qid,
+void SessionsWorld::deliver(pooler::ConnectionId id, std::vector<std::string> lines, const std::string& qid,
                             const std::string& code, std::size_t whole) {
   auto& l = lines_[id];
   if (chance(t_.lost)) {
--- a/tests/pooler/session_cluster.h
+++ b/tests/pooler/session_cluster.h
@@ -42,8 +42,8 @@
     std::string text, shape;
     bool write = false, commit = false, runs = false;
     Names values;
-    pooler::ConnId at = 0;  // the connection it was last written to
-    bool not_run = true;    // it is known to the pooler that nothing of it has run
+    pooler::ConnectionId at = 0;  // the connection it was last written to
+    bool not_run = true;          // it is known to the pooler that nothing of it has run
   };
   struct Step {
     std::string id, text;
@@ -96,14 +96,14 @@
   void grant();
   Instance instance(int db) const;
   void promote();
-  void reset_line(pooler::ConnId id);
-  void db_reads(pooler::ConnId id);
-  void run(pooler::ConnId id, const std::string& line);
+  void reset_line(pooler::ConnectionId id);
+  void db_reads(pooler::ConnectionId id);
+  void run(pooler::ConnectionId id, const std::string& line);
   std::string statement(Line& l, Db& d, const std::string& id, std::string_view text, std::string& code,
                         bool& wrote);
-  void reply(pooler::ConnId id, std::vector<std::string> lines, const std::string& qid,
+  void reply(pooler::ConnectionId id, std::vector<std::string> lines, const std::string& qid,
              const std::string& code);
-  void deliver(pooler::ConnId id, std::vector<std::string> lines, const std::string& qid,
+  void deliver(pooler::ConnectionId id, std::vector<std::string> lines, const std::string& qid,
                const std::string& code, std::size_t whole);
   void commit(const std::vector<std::string>& writes);
   void act(Client& c);
@@ -115,9 +115,9 @@
   // pooler::Port
   void send_to_client(pooler::SessionId, std::string) override;
   void close_client(pooler::SessionId) override;
-  void open_connection(pooler::ConnId, const Endpoint&) override;
-  void send_to_database(pooler::ConnId, std::string) override;
-  void close_connection(pooler::ConnId, bool orderly) override;
+  void open_connection(pooler::ConnectionId, const Endpoint&) override;
+  void send_to_database(pooler::ConnectionId, std::string) override;
+  void close_connection(pooler::ConnectionId, bool orderly) override;
   void report_failure(const InstanceId&, FailureKind) override {}
   void request_position(const std::string&) override;
   void request_quota(const std::string&, quota::Rights) override;
@@ -140,7 +140,7 @@
   std::map<std::string, quota::Rights> given_;  // to this life of the pooler
   Millis held_at_ = 0, lapse_until_ = 0;
   std::vector<Client> clients_;
-  std::map<pooler::ConnId, Line> lines_;  // of this life of the pooler
+  std::map<pooler::ConnectionId, Line> lines_;  // of this life of the pooler
   std::uint64_t life_ = 0;
   std::map<std::string, Asked> asked_;
   std::map<std::string, std::pair<std::string, std::vector<std::string>>> runs_;  // by stamp: id and rows
