--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -458,9 +458,9 @@
 
 bool Controller::is_in_view(const std::string& host) const {
   const auto& view = replica_->view();
-  if (host == settings_.ip) return view.has(replica_->self());
+  if (host == settings_.ip) return view.has_member(replica_->self());
   const PeerLinks::Peer* peer = peers_.find(host);
-  return peer && view.has(peer->id);
+  return peer && view.has_member(peer->id);
 }
 
 // The controllers that an agent may turn to; none when this one cannot know which are in the view today.
--- a/src/replication/chain.cc
+++ b/src/replication/chain.cc
@@ -6,7 +6,7 @@
 
 namespace pebblespindle::replication {
 
-void Chain::on_reload() {
+void Chain::on_state_loaded() {
   sent_to_successor_.reset();
   // What the tail holds, all members before it hold as well.
   const bool tail_in_sync = state_.is_tail() && state_.synced_view == state_.view.number;
@@ -29,15 +29,16 @@
     return;
   }
   const SequenceNumber base = *sent_to_successor_;
-  set_sent_all();
+  mark_all_sent();
   outbox_.send(successor, sender_.append_after(base, state_.table.rows_after(base)));
 }
 
-bool Chain::follows(const Append& append) const {
+bool Chain::can_store(const Append& append) const {
   const SequenceNumber held = state_.table.last_sequence();
   const bool joining = state_.synced_view != state_.view.number;
-  if (append.base > held || !state_.history.agrees(append.base, append.base_term)) return false;
-  return !joining || append.base == held;
+  if (append.base_sequence > held || !state_.history.matches(append.base_sequence, append.base_term))
+    return false;
+  return !joining || append.base_sequence == held;
 }
 
 Status Chain::store(const Append& append) {
@@ -46,7 +47,7 @@
   WriteBatch batch;
   state_.drop_transfer(batch);
   if (append.last_sequence > held) {
-    state_.history.begin(append.terms);
+    state_.history.record(append.terms);
     for (auto& row : append.rows)
       if (row.sequence > held) batch.rows.push_back(row);
     for (auto& row : batch.rows) state_.table.put(row);
@@ -77,7 +78,7 @@
   stalled_since_.reset();
 }
 
-void Chain::observe_successor(Instant now, bool holds_lease) {
+void Chain::track_stalled_successor(Instant now, bool holds_lease) {
   const bool waiting =
       state_.in_sync() && !state_.is_tail() && committed_ < state_.table.last_sequence() && holds_lease;
   if (!waiting)
--- a/src/replication/chain.h
+++ b/src/replication/chain.h
@@ -22,12 +22,12 @@
   // Since when the successor has stored nothing of what it was sent; none while it does.
   std::optional<Instant> stalled_since() const { return stalled_since_; }
 
-  void on_reload();
+  void on_state_loaded();
   void on_new_view(Instant now);
   // Sends the successor all that it has not been sent yet.
   void forward(Instant now);
   // Whether the rows follow on what is held here.
-  bool follows(const Append& append) const;
+  bool can_store(const Append& append) const;
   // Stores the rows, and with them that the state of the view is held. Ok as well where there was nothing to
   // store.
   Status store(const Append& append);
@@ -36,11 +36,11 @@
   bool accepts(const ReplicaId& from, const Commit& commit) const;
   // The successor holds the state of the view up to `sequence`.
   void on_successor_position(Instant now, SequenceNumber sequence);
-  void on_successor_answer() { stalled_since_.reset(); }
-  void set_sent_all() { sent_to_successor_ = state_.table.last_sequence(); }
-  void note_progress(Instant now) { last_progress_ = now; }
+  void on_successor_progress() { stalled_since_.reset(); }
+  void mark_all_sent() { sent_to_successor_ = state_.table.last_sequence(); }
+  void record_progress(Instant now) { last_progress_ = now; }
   // Notes whether the successor answers. Call it at every tick, before a next view is planned.
-  void observe_successor(Instant now, bool holds_lease);
+  void track_stalled_successor(Instant now, bool holds_lease);
   // Nothing comes back: the successor is asked what it holds, and is sent what it lacks.
   void retry(Instant now, bool successor_in_sync);
 
--- a/src/replication/codec.cc
+++ b/src/replication/codec.cc
@@ -10,7 +10,7 @@
 bool is_count(const Json& value) {
   if (!value.is_number_integer()) return false;
   if (!value.is_number_unsigned() && value.get<std::int64_t>() < 0) return false;
-  return value.get<std::uint64_t>() <= kMaxNumber;
+  return value.get<std::uint64_t>() <= kMaxWireNumber;
 }
 
 // Reads the fields of one message. A field that is missing or has another type marks the message as
@@ -112,7 +112,7 @@
 Json encode_fields(const Heartbeat& heartbeat) {
   Json fields{{"t", "b"}, {"v", heartbeat.view}, {"s", heartbeat.synced_view}, {"at", heartbeat.sent_at}};
   if (heartbeat.without_lease) fields["u"] = true;
-  if (heartbeat.learned_view) fields["l"] = *heartbeat.learned_view;
+  if (heartbeat.caught_up_view) fields["l"] = *heartbeat.caught_up_view;
   if (heartbeat.not_participating) fields["x"] = true;
   if (heartbeat.leaving) fields["w"] = true;
   return fields;
@@ -125,11 +125,11 @@
 Json encode_fields(const Append& append) {
   Json fields{{"t", "up"},
               {"n", append.view},
-              {"base", append.base},
+              {"base", append.base_sequence},
               {"bt", append.base_term},
               {"k", append.last_sequence},
               {"r", encode_rows(append.rows)}};
-  if (append.answers) fields["q"] = *append.answers;
+  if (append.in_reply_to) fields["q"] = *append.in_reply_to;
   if (!append.terms.empty()) fields["e"] = encode_terms(append.terms);
   Json origins = Json::array();
   for (auto& origin : append.origins)
@@ -161,10 +161,10 @@
 Json encode_fields(const StateChunk& chunk) {
   Json fields{{"t", "pc"},
               {"n", chunk.view},
-              {"q", chunk.answers},
+              {"q", chunk.in_reply_to},
               {"st", encode_progress(chunk.progress)},
               {"r", encode_rows(chunk.rows)}};
-  if (chunk.first) fields["new"] = true;
+  if (chunk.is_first) fields["new"] = true;
   if (chunk.end) {
     fields["e"] = encode_terms(chunk.end->terms.value_or(std::vector<TermStart>()));
     fields["trimmed"] = chunk.end->compacted_to;
@@ -233,7 +233,7 @@
   heartbeat.view = fields.number("v");
   heartbeat.synced_view = fields.number("s");
   heartbeat.sent_at = Instant(fields.number("at"));
-  heartbeat.learned_view = fields.optional_number("l");
+  heartbeat.caught_up_view = fields.optional_number("l");
   heartbeat.without_lease = fields.flag("u");
   heartbeat.not_participating = fields.flag("x");
   heartbeat.leaving = fields.flag("w");
@@ -259,13 +259,13 @@
 Message decode_append(FieldReader& fields) {
   Append append;
   append.view = fields.number("n");
-  append.answers = fields.optional_number("q");
-  append.base = fields.number("base");
+  append.in_reply_to = fields.optional_number("q");
+  append.base_sequence = fields.number("base");
   append.base_term = fields.number("bt");
   append.last_sequence = fields.number("k");
   auto rows = decode_rows(fields.list("r", true));
   append.terms = decode_terms(fields.list("e")).value_or(std::vector<TermStart>());
-  fields.require(append.base <= append.last_sequence);
+  fields.require(append.base_sequence <= append.last_sequence);
   append.origins = decode_origins(fields);
   if (!rows) return IgnoredMessage();
   append.rows = std::move(*rows);
@@ -296,8 +296,8 @@
 Message decode_state_chunk(FieldReader& fields) {
   StateChunk chunk;
   chunk.view = fields.number("n");
-  chunk.answers = fields.number("q");
-  chunk.first = fields.has("new");
+  chunk.in_reply_to = fields.number("q");
+  chunk.is_first = fields.has("new");
   (void)fields.flag("new");
   auto rows = decode_rows(fields.list("r", true));
   const SequenceNumber compacted_to = fields.optional_number("trimmed").value_or(0);
@@ -428,7 +428,7 @@
 
 Json encode_terms(const std::vector<TermStart>& terms) {
   Json encoded = Json::array();
-  for (auto& start : terms) encoded.push_back(Json::array({start.term, start.first}));
+  for (auto& start : terms) encoded.push_back(Json::array({start.term, start.first_sequence}));
   return encoded;
 }
 
--- a/src/replication/local_state.cc
+++ b/src/replication/local_state.cc
@@ -26,7 +26,7 @@
   table.clear();
   history = TermHistory();
   transfer.reset();
-  staged.clear();
+  staged_table.clear();
   disk_failed_ = false;
   if (!stored_view || !durable.is_object()) return;
   self = field<std::string>(durable, "self", self);
@@ -41,12 +41,12 @@
   table.compact(number(durable, "trimmed"));
   // A state of a former version knows no terms: all that it holds counts as of the present head's.
   if (auto terms = decode_terms(durable.value("terms", Json())))
-    history.begin(*terms);
+    history.record(*terms);
   else if (table.last_sequence() > 0)
-    history.begin(view.term, 1);
+    history.record(view.term, 1);
   transfer = decode_progress(durable.value("stage", Json()));
   if (!transfer) return;
-  for (auto& row : storage_.staged_rows()) staged.put(row);
+  for (auto& row : storage_.staged_rows()) staged_table.put(row);
 }
 
 Json LocalState::encode_durable() const {
@@ -56,7 +56,7 @@
                {"ai", accepted.view},
                {"ab", accepted.number},
                {"synced", synced_view},
-               {"terms", encode_terms(history.starting_after(0))},
+               {"terms", encode_terms(history.terms_after(0))},
                {"trimmed", table.compacted_to()}};
   if (transfer) durable["stage"] = encode_progress(*transfer);
   if (accepted_view) durable["av"] = encode_view(*accepted_view);
@@ -70,7 +70,7 @@
   Status written = storage_.commit(batch);
   if (written.is_ok()) return written;
   disk_failed_ = true;
-  on_refused_();
+  on_write_refused_();
   return written;
 }
 
@@ -81,7 +81,7 @@
 void LocalState::drop_transfer(WriteBatch& batch) {
   if (!transfer) return;
   transfer.reset();
-  staged.clear();
+  staged_table.clear();
   batch.clear_staged = true;
 }
 
--- a/src/replication/local_state.h
+++ b/src/replication/local_state.h
@@ -22,8 +22,8 @@
 class LocalState {
  public:
   // on_refused: called when the disk has refused a write; the replica takes no part by then.
-  LocalState(ReplicaId initial_identity, Storage& storage, std::function<void()> on_refused)
-      : self(std::move(initial_identity)), storage_(storage), on_refused_(std::move(on_refused)) {}
+  LocalState(ReplicaId initial_id, Storage& storage, std::function<void()> on_write_refused)
+      : self(std::move(initial_id)), storage_(storage), on_write_refused_(std::move(on_write_refused)) {}
 
   void load();
   // All that is small is written whole with each batch. kIoError: see the invariant above.
@@ -33,16 +33,16 @@
   // Drops the state that is being received, here and on the disk with the batch.
   void drop_transfer(WriteBatch& batch);
 
-  bool takes_part() const { return !disk_failed_ && !stopped; }
+  bool is_participating() const { return !disk_failed_ && !stopped; }
   bool disk_failed() const { return disk_failed_; }
-  bool is_member() const { return view.has(self); }
+  bool is_member() const { return view.has_member(self); }
   bool is_head() const { return view.head() == self; }
   bool is_tail() const { return view.tail() == self; }
   // A member that holds the whole state of the present view.
   bool in_sync() const {
-    return takes_part() && view.number > 0 && synced_view == view.number && is_member();
+    return is_participating() && view.number > 0 && synced_view == view.number && is_member();
   }
-  bool may_vote() const { return takes_part() && view.has_voter(self); }
+  bool may_vote() const { return is_participating() && view.has_voter(self); }
 
   ReplicaId self;
   View view;
@@ -52,13 +52,13 @@
   StateTable table;
   TermHistory history;
   std::optional<TransferProgress> transfer;  // of a state that is being received
-  StateTable staged;                         // what has been received of it
+  StateTable staged_table;                   // what has been received of it
   bool stopped = false;                      // about to end; not on the disk
 
  private:
   Json encode_durable() const;
   Storage& storage_;
-  std::function<void()> on_refused_;
+  std::function<void()> on_write_refused_;
   bool disk_failed_ = false;
 };
 
--- a/src/replication/messages.h
+++ b/src/replication/messages.h
@@ -17,13 +17,13 @@
 // --- liveness and leases ----------------------------------------------------------------------------------
 
 struct Heartbeat {
-  ViewNumber view = 0;                       // the newest view that the sender knows
-  ViewNumber synced_view = 0;                // the newest view whose state it holds in full
-  Instant sent_at = 0;                       // by the sender's clock
-  std::optional<ViewNumber> learned_view{};  // a standby: the view as of which it holds the state
-  bool without_lease = false;                // a member that no majority has granted its place
-  bool not_participating = false;            // its disk refuses writes, or it is about to end
-  bool leaving = false;                      // it wants to hand over and end
+  ViewNumber view = 0;                         // the newest view that the sender knows
+  ViewNumber synced_view = 0;                  // the newest view whose state it holds in full
+  Instant sent_at = 0;                         // by the sender's clock
+  std::optional<ViewNumber> caught_up_view{};  // a standby: the view as of which it holds the state
+  bool without_lease = false;                  // a member that no majority has granted its place
+  bool not_participating = false;              // its disk refuses writes, or it is about to end
+  bool leaving = false;                        // it wants to hand over and end
 };
 
 // A voter's lease to a member of the present view, counted from when the heartbeat was sent.
@@ -45,8 +45,8 @@
 // Rows that follow on a sequence number: from the predecessor, or as the answer to a StateRequest.
 struct Append {
   ViewNumber view = 0;
-  std::optional<RequestId> answers{};  // the StateRequest that it answers
-  SequenceNumber base = 0;             // what it follows on
+  std::optional<RequestId> in_reply_to{};  // the StateRequest that it answers
+  SequenceNumber base_sequence = 0;        // what it follows on
   TermNumber base_term = 0;
   SequenceNumber last_sequence = 0;
   std::vector<Row> rows;
@@ -100,8 +100,8 @@
 
 struct StateChunk {
   ViewNumber view = 0;
-  RequestId answers = 0;
-  bool first = false;  // what was received before is dropped
+  RequestId in_reply_to = 0;
+  bool is_first = false;  // what was received before is dropped
   TransferProgress progress;
   std::vector<Row> rows;
   std::optional<TransferEnd> end{};
--- a/src/replication/peer_table.cc
+++ b/src/replication/peer_table.cc
@@ -10,25 +10,25 @@
   if (!host.empty() && host != own_host_) hosts_.insert(host);
 }
 
-ReplicaId PeerTable::identity_at(const std::string& host) const {
-  auto it = identity_by_host_.find(host);
-  return it == identity_by_host_.end() ? host : it->second;
+ReplicaId PeerTable::current_id_at(const std::string& host) const {
+  auto it = id_by_host_.find(host);
+  return it == id_by_host_.end() ? host : it->second;
 }
 
-bool PeerTable::is_current_identity(const ReplicaId& id) const {
-  auto it = identity_by_host_.find(host_of(id));
-  return it == identity_by_host_.end() || it->second == id;
+bool PeerTable::is_current_id(const ReplicaId& id) const {
+  auto it = id_by_host_.find(host_of(id));
+  return it == id_by_host_.end() || it->second == id;
 }
 
 void PeerTable::on_heartbeat(Instant now, const ReplicaId& from, const Heartbeat& heartbeat) {
   Peer& peer = peers_[from];
-  identity_by_host_[host_of(from)] = from;
+  id_by_host_[host_of(from)] = from;
   add_host(host_of(from));
   if (!peer.last_heard || now - *peer.last_heard > kPeerTimeoutMs) peer.heard_since = now;
   peer.last_heard = now;
   peer.view = heartbeat.view;
   peer.synced_view = heartbeat.synced_view;
-  peer.learned_view = heartbeat.learned_view.value_or(0);
+  peer.caught_up_view = heartbeat.caught_up_view.value_or(0);
   // Without the view's state it has no lease either; that is told by itself.
   if (!heartbeat.without_lease || peer.synced_view != peer.view)
     peer.without_lease_since.reset();
@@ -58,7 +58,7 @@
 bool PeerTable::is_lost(Instant now, const ReplicaId& id, Millis timeout) const {
   const Peer* peer = find(id);
   const Instant last = peer && peer->last_heard ? std::max(*peer->last_heard, started_) : started_;
-  if (!is_current_identity(id) && now - last > 2 * kHeartbeatMs) return true;
+  if (!is_current_id(id) && now - last > 2 * kHeartbeatMs) return true;
   return now - last > timeout;
 }
 
--- a/src/replication/peer_table.h
+++ b/src/replication/peer_table.h
@@ -10,8 +10,8 @@
 
 struct Peer {
   std::optional<Instant> last_heard{};
-  std::optional<Instant> heard_since{};                    // without a gap
-  ViewNumber view = 0, synced_view = 0, learned_view = 0;  // as in its last heartbeat
+  std::optional<Instant> heard_since{};                      // without a gap
+  ViewNumber view = 0, synced_view = 0, caught_up_view = 0;  // as in its last heartbeat
   bool not_participating = false, leaving = false;
   std::optional<Instant> without_lease_since{};
   std::optional<Instant> out_of_sync_since{};  // although its predecessor could give it the state
@@ -25,9 +25,9 @@
   void add_host(const std::string& host);
   const std::set<std::string>& hosts() const { return hosts_; }
   // The identity that was heard last from a host; the host itself while none was.
-  ReplicaId identity_at(const std::string& host) const;
+  ReplicaId current_id_at(const std::string& host) const;
   // False when another identity was heard from its host since.
-  bool is_current_identity(const ReplicaId& id) const;
+  bool is_current_id(const ReplicaId& id) const;
 
   void on_heartbeat(Instant now, const ReplicaId& from, const Heartbeat& heartbeat);
   void on_new_view();
@@ -45,7 +45,7 @@
   Instant started_;
   std::set<std::string> hosts_;
   std::map<ReplicaId, Peer> peers_;
-  std::map<std::string, ReplicaId> identity_by_host_;
+  std::map<std::string, ReplicaId> id_by_host_;
 };
 
 }  // namespace pebblespindle::replication
--- a/src/replication/pending_requests.cc
+++ b/src/replication/pending_requests.cc
@@ -21,8 +21,8 @@
 }  // namespace
 
 void PendingRequests::submit(Instant now, const View& view, Json command, SubmitCallback done) {
-  if (ended_) return done(Status::no_answer(kEnded));
-  const RequestId request = ++last_request_;
+  if (shut_down_) return done(Status::no_answer(kEnded));
+  const RequestId request = ++last_request_id_;
   Submission& submission = submissions_[request];
   submission.command = std::move(command);
   submission.done = std::move(done);
@@ -31,8 +31,8 @@
 }
 
 void PendingRequests::read(Instant now, const View& view, const std::string& key, ReadCallback done) {
-  if (ended_) return done(Status::no_answer(kEnded));
-  const RequestId request = ++last_request_;
+  if (shut_down_) return done(Status::no_answer(kEnded));
+  const RequestId request = ++last_request_id_;
   Read& read = reads_[request];
   read.key = key;
   read.done = std::move(done);
@@ -44,7 +44,7 @@
   submission.sent_at = now;
   const ReplicaId head = view.head();
   if (head.empty()) return;
-  submission.asked = head;
+  submission.target = head;
   ++submission.attempts;
   // The submission may be answered, and gone, before this returns.
   outbox_.send(head, SubmitRequest{request, view.number, submission.attempts, submission.command});
@@ -52,23 +52,23 @@
 
 void PendingRequests::send(Instant now, const View& view, RequestId request, Read& read) {
   read.sent_at = now;
-  read.asked = view.tail();
-  if (!read.asked.empty()) outbox_.send(view.tail(), ReadRequest{request, read.key});
+  read.target = view.tail();
+  if (!read.target.empty()) outbox_.send(view.tail(), ReadRequest{request, read.key});
 }
 
 void PendingRequests::on_reply(const ReplicaId& from, const View& view, const SubmitReply& reply) {
   auto it = submissions_.find(reply.request);
   if (it == submissions_.end()) return;
   const Submission& submission = it->second;
-  const bool from_asked = from == submission.asked;
-  const bool counts = reply.status.is_ok() ? from_asked || view.has(from)
-                                           : from_asked && reply.attempt == submission.attempts;
+  const bool from_target = from == submission.target;
+  const bool counts = reply.status.is_ok() ? from_target || view.has_member(from)
+                                           : from_target && reply.attempt == submission.attempts;
   if (counts) finish_submission(reply.request, reply.status);
 }
 
 void PendingRequests::on_reply(const ReplicaId& from, const ReadReply& reply) {
   auto it = reads_.find(reply.request);
-  if (it != reads_.end() && it->second.asked == from) finish_read(reply.request, reply.value);
+  if (it != reads_.end() && it->second.target == from) finish_read(reply.request, reply.value);
 }
 
 template <class Request>
@@ -90,8 +90,8 @@
   for (auto id : ended_reads) finish_read(id, Status::no_answer(kNoAnswer));
 }
 
-void PendingRequests::end() {
-  ended_ = true;
+void PendingRequests::shut_down() {
+  shut_down_ = true;
   for (auto& [id, submission] : std::exchange(submissions_, {})) submission.done(Status::no_answer(kEnded));
   for (auto& [id, read] : std::exchange(reads_, {})) read.done(Status::no_answer(kEnded));
 }
--- a/src/replication/pending_requests.h
+++ b/src/replication/pending_requests.h
@@ -22,7 +22,8 @@
 
 class PendingRequests {
  public:
-  PendingRequests(Outbox& outbox, RequestId first_request) : outbox_(outbox), last_request_(first_request) {}
+  PendingRequests(Outbox& outbox, RequestId initial_request_id)
+      : outbox_(outbox), last_request_id_(initial_request_id) {}
 
   void submit(Instant now, const View& view, Json command, SubmitCallback done);
   void read(Instant now, const View& view, const std::string& key, ReadCallback done);
@@ -32,21 +33,21 @@
   void tick(Instant now, const View& view);
   // This process ends: whoever waits is told so now, and so is whoever comes later. What was submitted may
   // still be committed.
-  void end();
+  void shut_down();
 
  private:
   struct Submission {
     Json command;
     SubmitCallback done;
     Instant first_sent_at = 0, sent_at = 0;
-    ReplicaId asked{};
+    ReplicaId target{};
     std::uint64_t attempts = 0;
   };
   struct Read {
     std::string key;
     ReadCallback done;
     Instant first_sent_at = 0, sent_at = 0;
-    ReplicaId asked{};
+    ReplicaId target{};
   };
   void send(Instant now, const View& view, RequestId request, Submission& submission);
   void send(Instant now, const View& view, RequestId request, Read& read);
@@ -56,8 +57,8 @@
   void retry(Instant now, const View& view, std::map<RequestId, Request>& requests);
 
   Outbox& outbox_;
-  RequestId last_request_;
-  bool ended_ = false;
+  RequestId last_request_id_;
+  bool shut_down_ = false;
   std::map<RequestId, Submission> submissions_;
   std::map<RequestId, Read> reads_;
 };
--- a/src/replication/replica.cc
+++ b/src/replication/replica.cc
@@ -10,7 +10,7 @@
 
 // Request ids of a former process are not met again: each process starts at a number of its own, which leaves
 // room to count.
-RequestId first_request_of(std::uint64_t incarnation) {
+RequestId initial_request_id(std::uint64_t incarnation) {
   return incarnation << 16 >> 16;
 }
 
@@ -38,9 +38,9 @@
       planner_(state_, peers_, 2 * options.tolerated_losses + 1),
       view_change_(state_, peers_, lease_, *this),
       sender_(state_, submissions_, options.chunk_bytes),
-      receiver_(state_, *this, first_request_of(options.incarnation)),
+      receiver_(state_, *this, initial_request_id(options.incarnation)),
       chain_(state_, sender_, *this),
-      requests_(*this, first_request_of(options.incarnation)),
+      requests_(*this, initial_request_id(options.incarnation)),
       without_lease_since_(now),
       member_removed_at_(now) {
   for (auto& seed : options.seeds) peers_.add_host(seed);
@@ -52,7 +52,7 @@
     bootstrap(options.seeds);
     return;
   }
-  state_.self = new_identity(options.host, options.incarnation);
+  state_.self = new_replica_id(options.host, options.incarnation);
   environment_.log_event("empty disk: joins as a new replica, id=" + state_.self);
 }
 
@@ -64,16 +64,16 @@
   for (auto& seed : seeds) view.members.push_back({seed, 1});
   view.voters = std::move(seeds);
   state_.synced_view = 1;
-  state_.history.begin(1, 1);
+  state_.history.record(1, 1);
   (void)state_.save();  // refused: on_disk_refused() has been called
 }
 
 // Takes the state from the disk: at the start, and after the disk has refused a write.
 void Replica::load_state() {
   state_.load();
-  chain_.on_reload();
-  receiver_.on_reload();
-  submissions_.clear_under_way();
+  chain_.on_state_loaded();
+  receiver_.on_state_loaded();
+  submissions_.clear_in_flight();
   view_change_.abandon_proposal();
   successor_request_.reset();
   for (auto& member : state_.view.members) peers_.add_host(host_of(member.id));
@@ -85,7 +85,7 @@
 
 // What memory holds is not what the disk holds: no part is taken until the disk has been read anew.
 void Replica::on_disk_refused() {
-  give_back_leases();
+  relinquish_leases();
   environment_.log_event("disk refuses a write: takes no part until it accepts one, id=" + state_.self);
 }
 
@@ -117,8 +117,8 @@
 }
 
 // Whoever takes no part says so, and acts on no lease it was given: the others need not wait for their end.
-void Replica::give_back_leases() {
-  lease_.give_back(now_);
+void Replica::relinquish_leases() {
+  lease_.relinquish(now_);
   send_heartbeat();
 }
 
@@ -135,8 +135,8 @@
   heartbeat.synced_view = state_.synced_view;
   heartbeat.sent_at = now_;
   heartbeat.without_lease = without_lease_since_.has_value();
-  if (receiver_.has_learned_view() && !state_.is_member()) heartbeat.learned_view = receiver_.learned_view();
-  heartbeat.not_participating = !state_.takes_part();
+  if (receiver_.is_caught_up() && !state_.is_member()) heartbeat.caught_up_view = receiver_.caught_up_view();
+  heartbeat.not_participating = !state_.is_participating();
   heartbeat.leaving = leaving_;
   send_to_others(heartbeat);
 }
@@ -155,7 +155,7 @@
 
 void Replica::on_link_established() {
   next_heartbeat_at_ = 0;
-  receiver_.request_soon();
+  receiver_.request_at_next_call();
 }
 
 // --- graceful shutdown
@@ -179,7 +179,7 @@
   }
   const auto can_take_vote = [&](const ReplicaId& id, const Peer& peer) {
     return !view.has_voter(id) && !peer.not_participating && !peer.leaving &&
-           peers_.heard_within(now, id, kPeerTimeoutMs) && peers_.is_current_identity(id);
+           peers_.heard_within(now, id, kPeerTimeoutMs) && peers_.is_current_id(id);
   };
   return std::none_of(peers_.all().begin(), peers_.all().end(),
                       [&](auto& entry) { return can_take_vote(entry.first, entry.second); });
@@ -188,8 +188,8 @@
 void Replica::stop(Instant now) {
   now_ = now;
   state_.stopped = true;
-  give_back_leases();
-  requests_.end();
+  relinquish_leases();
+  requests_.shut_down();
 }
 
 // --- the clock
@@ -198,14 +198,14 @@
 void Replica::tick(Instant now) {
   now_ = now;
   if (state_.disk_failed()) retry_disk();
-  if (state_.takes_part()) {
+  if (state_.is_participating()) {
     if (now >= next_heartbeat_at_) {
       next_heartbeat_at_ = now + kHeartbeatMs;
       send_heartbeat();
     }
     observe_lease();
-    planner_.observe_members(now);
-    chain_.observe_successor(now, holds_lease(now));
+    planner_.track_out_of_sync_members(now);
+    chain_.track_stalled_successor(now, holds_lease(now));
     propose_next_view();
     answer_submissions();  // what waited for the lease
     receiver_.request_state(now, committed());
@@ -228,7 +228,7 @@
 }
 
 void Replica::send_to_others(const Message& message) {
-  for (auto& host : peers_.hosts()) environment_.send(peers_.identity_at(host), message);
+  for (auto& host : peers_.hosts()) environment_.send(peers_.current_id_at(host), message);
 }
 
 // --- the next view
@@ -236,12 +236,12 @@
 
 void Replica::propose_next_view() {
   if (!state_.may_vote() || !state_.is_member()) return;
-  ViewPlanner::Situation situation;
-  situation.leaving = leaving_;
-  situation.stalled_since = chain_.stalled_since();
-  situation.accepted_view_is_stale = view_change_.is_proposal_older_than(now_, kPeerTimeoutMs);
-  const auto next = planner_.next_view(now_, situation);
-  if (next && next->has(state_.self)) view_change_.propose(now_, *next);
+  ViewPlanner::Conditions conditions;
+  conditions.leaving = leaving_;
+  conditions.stalled_since = chain_.stalled_since();
+  conditions.accepted_view_is_stale = view_change_.is_proposal_older_than(now_, kPeerTimeoutMs);
+  const auto next = planner_.next_view(now_, conditions);
+  if (next && next->has_member(state_.self)) view_change_.propose(now_, *next);
 }
 
 void Replica::handle(const ReplicaId& from, const Prepare& prepare) {
@@ -263,7 +263,7 @@
 void Replica::handle(const ReplicaId&, const Decision& decision) {
   const View& view = state_.view;
   const bool is_next = decision.view.number == view.number + 1 && view.number > 0;
-  if (state_.disk_failed() || (is_next && !decision.view.follows(view))) return;
+  if (state_.disk_failed() || (is_next && !decision.view.is_valid_successor_of(view))) return;
   adopt(decision.view);
 }
 
@@ -272,7 +272,7 @@
   if (decided.number <= former.number) return;
   std::vector<ReplicaId> removed;
   for (auto& member : former.members)
-    if (!decided.has(member.id)) removed.push_back(member.id);
+    if (!decided.has_member(member.id)) removed.push_back(member.id);
   if (!removed.empty()) member_removed_at_ = now_;
   state_.view = decided;
   lease_.on_new_view(now_, decided.voters != former.voters);
@@ -288,11 +288,11 @@
   const bool leads = own && state_.is_head() && state_.synced_view >= own->joined;
   if (leads) state_.synced_view = decided.number;
   if (leads && decided.term == decided.number)
-    state_.history.begin(decided.term, state_.table.last_sequence() + 1);
+    state_.history.record(decided.term, state_.table.last_sequence() + 1);
   if (!state_.save().is_ok()) return;
   log_view(decided, join(removed));
   const bool led = former.head() == state_.self;
-  if (!own || (led && !leads)) submissions_.clear_under_way();  // it may never be committed
+  if (!own || (led && !leads)) submissions_.clear_in_flight();  // it may never be committed
   if (leads) return on_in_sync();
   receiver_.request_state(now_, committed());
   send_heartbeat();
@@ -309,24 +309,24 @@
 // ------------------------------------------------------------------------------------------------
 
 void Replica::handle(const ReplicaId& from, const Append& append) {
-  if (!state_.takes_part() || append.view != state_.view.number) return;
+  if (!state_.is_participating() || append.view != state_.view.number) return;
   const bool member = state_.is_member();
   // The predecessor speaks by itself; anyone else only in answer to the last request.
-  const bool is_answer = receiver_.answers_last_request(append.answers);
+  const bool is_answer = receiver_.is_reply_to_last_request(append.in_reply_to);
   if (member ? state_.view.predecessor(state_.self) != from : !is_answer) return;
-  if (!chain_.follows(append)) {
+  if (!chain_.can_store(append)) {
     if (is_answer) return;
-    receiver_.request_soon();
+    receiver_.request_at_next_call();
     return receiver_.request_state(now_, committed());
   }
   const bool joining = state_.synced_view != state_.view.number;
   const bool is_new = append.last_sequence > state_.table.last_sequence();
   if (!chain_.store(append).is_ok()) return;
   if (!member) {
-    if (receiver_.learn_view()) send_heartbeat();  // it may be let in
+    if (receiver_.mark_caught_up()) send_heartbeat();  // it may be let in
     return;
   }
-  if (joining) submissions_.clear_under_way();
+  if (joining) submissions_.clear_in_flight();
   submissions_.add_origins(append.origins);
   if (joining) return on_in_sync();
   if (state_.is_tail())
@@ -337,7 +337,7 @@
 
 // This member has come to hold the view's state.
 void Replica::on_in_sync() {
-  chain_.note_progress(now_);
+  chain_.record_progress(now_);
   if (state_.is_tail())
     commit_up_to(state_.table.last_sequence());
   else if (auto request = std::exchange(successor_request_, std::nullopt))
@@ -349,7 +349,7 @@
 
 void Replica::handle(const ReplicaId& from, const Commit& commit) {
   if (!chain_.accepts(from, commit)) return;
-  chain_.on_successor_answer();
+  chain_.on_successor_progress();
   commit_up_to(commit.sequence);
 }
 
@@ -357,7 +357,7 @@
   const bool rose = chain_.commit(now_, sequence);
   answer_submissions();
   if (rose) environment_.on_committed();
-  process_waiting_submissions();
+  process_queued_submissions();
 }
 
 // --- state transfer
@@ -365,21 +365,21 @@
 
 void Replica::handle(const ReplicaId& from, const StateQuery& query) {
   if (query.view != state_.view.number || state_.view.predecessor(state_.self) != from) return;
-  receiver_.request_soon();
+  receiver_.request_at_next_call();
   receiver_.request_state(now_, committed());
 }
 
 void Replica::handle(const ReplicaId& from, const StateRequest& request) {
-  if (!state_.takes_part() || request.view != state_.view.number || !state_.is_member()) return;
+  if (!state_.is_participating() || request.view != state_.view.number || !state_.is_member()) return;
   const bool is_successor = state_.view.successor(state_.self) == from;
-  if (!is_successor && state_.view.has(from)) return;
+  if (!is_successor && state_.view.has_member(from)) return;
   if (!state_.in_sync()) {
     if (is_successor) successor_request_ = request;
     return;
   }
   if (is_successor && request.synced_view == state_.view.number) return on_successor_in_sync(from, request);
   auto reply = sender_.reply_to(request);
-  if (reply.complete && is_successor) chain_.set_sent_all();
+  if (reply.complete && is_successor) chain_.mark_all_sent();
   send(from, reply.message);
 }
 
@@ -402,7 +402,7 @@
     case StateReceiver::ChunkOutcome::kIgnored:
     case StateReceiver::ChunkOutcome::kNotStored:
       return;
-    case StateReceiver::ChunkOutcome::kMoreWanted:
+    case StateReceiver::ChunkOutcome::kMoreNeeded:
       return receiver_.request_state(now_, committed());
     case StateReceiver::ChunkOutcome::kDropped:
       return environment_.log_event("state transfer dropped: incomplete, from=" + from);
@@ -411,11 +411,11 @@
   }
   environment_.log_event("state transfer complete: from=" + from +
                          " sequence=" + std::to_string(state_.table.last_sequence()) +
-                         " rows=" + std::to_string(receiver_.received_rows()) +
+                         " rows=" + std::to_string(receiver_.received_row_count()) +
                          (chunk.progress.whole_state ? " whole=true" : " whole=false"));
-  submissions_.clear_under_way();
+  submissions_.clear_in_flight();
   if (state_.is_member()) return on_in_sync();
-  if (receiver_.learn_view()) send_heartbeat();
+  if (receiver_.mark_caught_up()) send_heartbeat();
 }
 
 void Replica::compact(Instant now, SequenceNumber acknowledged) {
@@ -454,39 +454,39 @@
 void Replica::handle(const ReplicaId& from, const SubmitRequest& request) {
   if (request.view < state_.view.number) return send(from, Decision{state_.view});
   if (request.view > state_.view.number || !state_.is_head() || !holds_lease(now_)) return;
-  submissions_.offer({from, request.request, request.attempt, request.command, now_});
-  process_waiting_submissions();
+  submissions_.enqueue({from, request.request, request.attempt, request.command, now_});
+  process_queued_submissions();
 }
 
-void Replica::process_waiting_submissions() {
-  if (!submissions_.has_waiting() || committed() < state_.table.last_sequence()) return;
-  const auto offers = submissions_.take_waiting();
+void Replica::process_queued_submissions() {
+  if (!submissions_.has_queued() || committed() < state_.table.last_sequence()) return;
+  const auto queued = submissions_.take_queued();
   if (!state_.is_head() || !holds_lease(now_)) return;  // they are offered again, here or elsewhere
   WriteBatch batch;
-  for (auto& offer : offers)
-    if (now_ < offer.at + kSubmitTimeoutMs)
-      validate_offer(offer, batch);  // else nobody waits for it any more
+  for (auto& submission : queued)
+    if (now_ < submission.received_at + kSubmitTimeoutMs)
+      validate_submission(submission, batch);  // else nobody waits for it any more
   if (batch.rows.empty()) return answer_submissions();
   if (!state_.save(std::move(batch)).is_ok()) return;
   if (state_.is_tail()) return commit_up_to(state_.table.last_sequence());
   chain_.forward(now_);
 }
 
-void Replica::validate_offer(const SubmissionQueue::Offer& offer, WriteBatch& batch) {
-  auto result = environment_.validate(state_.table, offer.command);
+void Replica::validate_submission(const SubmissionQueue::Submission& submission, WriteBatch& batch) {
+  auto result = environment_.validate(state_.table, submission.command);
   const SequenceNumber last = state_.table.last_sequence();
-  if (!result.status.is_ok()) return submissions_.add_refusal(offer, last, std::move(result.status));
-  if (result.rows.empty()) return submissions_.add_unchanged(offer, last);
+  if (!result.status.is_ok()) return submissions_.add_refusal(submission, last, std::move(result.status));
+  if (result.rows.empty()) return submissions_.add_unchanged(submission, last);
   for (auto& row : result.rows) {
     row.sequence = last + 1;
     state_.table.put(row);
     batch.rows.push_back(std::move(row));
   }
-  submissions_.add_change(offer, last + 1);
+  submissions_.add_change(submission, last + 1);
 }
 
 void Replica::answer_submissions() {
-  if (!submissions_.has_under_way() || !holds_lease(now_)) return;
+  if (!submissions_.has_in_flight() || !holds_lease(now_)) return;
   for (auto& reply : submissions_.take_replies(committed(), state_.is_tail())) send(reply.to, reply.reply);
 }
 
--- a/src/replication/replica.h
+++ b/src/replication/replica.h
@@ -89,7 +89,9 @@
   bool has_all_voters() const { return planner_.has_all_voters(); }
   const std::set<std::string>& hosts() const { return peers_.hosts(); }  // of others, worth a link
   bool is_receiving_state() const { return state_.transfer.has_value(); }
-  std::size_t received_rows() const { return state_.staged.size(); }  // of a state that is being received
+  std::size_t received_row_count() const {
+    return state_.staged_table.size();
+  }  // of a state that is being received
   // When a member was last left out of the view; the start of this process if none was.
   Instant member_removed_at() const { return member_removed_at_; }
 
@@ -121,7 +123,7 @@
   void load_state();
   void retry_disk();
   void on_disk_refused();
-  void give_back_leases();
+  void relinquish_leases();
   void send_heartbeat();
   void observe_lease();
   void propose_next_view();
@@ -131,8 +133,8 @@
   void on_successor_in_sync(const ReplicaId& from, const StateRequest& request);
   void commit_up_to(SequenceNumber sequence);
   void answer_submissions();
-  void process_waiting_submissions();
-  void validate_offer(const SubmissionQueue::Offer& offer, WriteBatch& batch);
+  void process_queued_submissions();
+  void validate_submission(const SubmissionQueue::Submission& submission, WriteBatch& batch);
 
   Environment& environment_;
   Instant now_;  // of the call that is being carried out
--- a/src/replication/state_receiver.cc
+++ b/src/replication/state_receiver.cc
@@ -9,7 +9,7 @@
 // Empty when there is nobody to ask, or no need.
 ReplicaId StateReceiver::source(Instant now) const {
   const View& view = state_.view;
-  if (!state_.takes_part() || view.number == 0) return {};
+  if (!state_.is_participating() || view.number == 0) return {};
   if (state_.is_member()) return view.predecessor(state_.self);
   const std::size_t count = view.members.size();
   const auto turn = std::size_t((now - source_since_) / kPeerTimeoutMs);
@@ -20,14 +20,14 @@
   const ReplicaId from = source(now);
   if (from.empty()) return;
   const bool member = state_.is_member();
-  const bool holds_state = member ? state_.synced_view == state_.view.number : has_learned_view();
+  const bool holds_state = member ? state_.synced_view == state_.view.number : is_caught_up();
   if (holds_state && member && requested_at_) return;
   const Millis interval = holds_state && !member ? kStandbyRequestMs : kStateRequestMs;
   if (requested_at_ && now < *requested_at_ + interval) return;
   requested_at_ = now;
   StateRequest request;
   request.view = state_.view.number;
-  request.request = ++last_request_;
+  request.request = ++last_request_id_;
   request.synced_view = state_.synced_view;
   request.committed = committed;
   request.last_sequence = state_.table.last_sequence();
@@ -41,14 +41,14 @@
   requested_at_.reset();
 }
 
-bool StateReceiver::learn_view() {
-  return std::exchange(learned_view_, state_.view.number) != state_.view.number;
+bool StateReceiver::mark_caught_up() {
+  return std::exchange(caught_up_view_, state_.view.number) != state_.view.number;
 }
 
 bool StateReceiver::expects(const ReplicaId& from, const StateChunk& chunk) const {
-  if (!state_.takes_part() || chunk.view != state_.view.number || chunk.answers != last_request_)
+  if (!state_.is_participating() || chunk.view != state_.view.number || chunk.in_reply_to != last_request_id_)
     return false;
-  if (!state_.transfer && !chunk.first) return false;
+  if (!state_.transfer && !chunk.is_first) return false;
   if (!state_.is_member()) return true;
   return state_.view.predecessor(state_.self) == from && state_.synced_view != state_.view.number;
 }
@@ -56,40 +56,40 @@
 StateReceiver::ChunkOutcome StateReceiver::on_chunk(const ReplicaId& from, StateChunk chunk) {
   if (!expects(from, chunk)) return ChunkOutcome::kIgnored;
   WriteBatch batch;
-  if (chunk.first) {
+  if (chunk.is_first) {
     state_.drop_transfer(batch);
     batch.clear_staged = true;
   }
-  for (auto& row : chunk.rows) state_.staged.put(row);
+  for (auto& row : chunk.rows) state_.staged_table.put(row);
   batch.staged_rows = std::move(chunk.rows);
   state_.transfer = chunk.progress;
   requested_at_.reset();
   if (chunk.end) return finish(chunk.progress, *chunk.end, std::move(batch));
-  return state_.save(std::move(batch)).is_ok() ? ChunkOutcome::kMoreWanted : ChunkOutcome::kNotStored;
+  return state_.save(std::move(batch)).is_ok() ? ChunkOutcome::kMoreNeeded : ChunkOutcome::kNotStored;
 }
 
 StateReceiver::ChunkOutcome StateReceiver::finish(const TransferProgress& progress, const TransferEnd& end,
                                                   WriteBatch batch) {
-  state_.staged.compact(end.compacted_to);
-  if (!end.terms || (progress.whole_state && state_.staged.size() != end.row_count)) {
+  state_.staged_table.compact(end.compacted_to);
+  if (!end.terms || (progress.whole_state && state_.staged_table.size() != end.row_count)) {
     state_.drop_transfer(batch);
     batch.staged_rows.clear();
     return state_.save(std::move(batch)).is_ok() ? ChunkOutcome::kDropped : ChunkOutcome::kNotStored;
   }
-  received_rows_ = state_.staged.size();
+  received_row_count_ = state_.staged_table.size();
   if (progress.whole_state) {
     batch.staged_action = WriteBatch::StagedAction::kReplaceRows;
-    state_.table.replace_with(state_.staged);
+    state_.table.replace_with(state_.staged_table);
     state_.table.compact(end.compacted_to);
     batch.compact_to = state_.table.compacted_to();
   } else {
     batch.staged_action = WriteBatch::StagedAction::kMergeIntoRows;
-    for (auto& row : state_.staged.rows_after(0)) state_.table.put(row);
-    state_.staged.clear();
+    for (auto& row : state_.staged_table.rows_after(0)) state_.table.put(row);
+    state_.staged_table.clear();
   }
   state_.table.set_last_sequence(progress.source_sequence);
   state_.history = TermHistory();
-  state_.history.begin(*end.terms);
+  state_.history.record(*end.terms);
   state_.transfer.reset();
   if (state_.is_member()) state_.synced_view = state_.view.number;
   return state_.save(std::move(batch)).is_ok() ? ChunkOutcome::kComplete : ChunkOutcome::kNotStored;
--- a/src/replication/state_receiver.h
+++ b/src/replication/state_receiver.h
@@ -13,33 +13,33 @@
 
 class StateReceiver {
  public:
-  StateReceiver(LocalState& state, Outbox& outbox, RequestId first_request)
-      : state_(state), outbox_(outbox), last_request_(first_request) {}
+  StateReceiver(LocalState& state, Outbox& outbox, RequestId initial_request_id)
+      : state_(state), outbox_(outbox), last_request_id_(initial_request_id) {}
 
   // Sends a request if one is due. committed: what this replica knows as committed.
   void request_state(Instant now, SequenceNumber committed);
   // The next request is due at once.
-  void request_soon() { requested_at_.reset(); }
+  void request_at_next_call() { requested_at_.reset(); }
   void on_new_view(Instant now);
-  void on_reload() { learned_view_ = 0; }
-  bool answers_last_request(std::optional<RequestId> answers) const {
-    return answers && *answers != 0 && *answers == last_request_;
+  void on_state_loaded() { caught_up_view_ = 0; }
+  bool is_reply_to_last_request(std::optional<RequestId> answers) const {
+    return answers && *answers != 0 && *answers == last_request_id_;
   }
   // A standby holds the state as of the present view. True when that is new.
-  bool learn_view();
-  ViewNumber learned_view() const { return learned_view_; }
-  bool has_learned_view() const { return learned_view_ == state_.view.number; }
+  bool mark_caught_up();
+  ViewNumber caught_up_view() const { return caught_up_view_; }
+  bool is_caught_up() const { return caught_up_view_ == state_.view.number; }
 
   enum class ChunkOutcome {
     kIgnored,
-    kMoreWanted,  // the next request is due at once
+    kMoreNeeded,  // the next request is due at once
     kDropped,     // what was received is not a whole state
     kComplete,    // and stored
     kNotStored,   // the disk has refused it
   };
   ChunkOutcome on_chunk(const ReplicaId& from, StateChunk chunk);
   // What was taken with the last complete transfer, for the log.
-  std::size_t received_rows() const { return received_rows_; }
+  std::size_t received_row_count() const { return received_row_count_; }
 
  private:
   ReplicaId source(Instant now) const;
@@ -48,11 +48,11 @@
 
   LocalState& state_;
   Outbox& outbox_;
-  RequestId last_request_;
+  RequestId last_request_id_;
   std::optional<Instant> requested_at_;
   Instant source_since_ = 0;
-  ViewNumber learned_view_ = 0;
-  std::size_t received_rows_ = 0;
+  ViewNumber caught_up_view_ = 0;
+  std::size_t received_row_count_ = 0;
 };
 
 }  // namespace pebblespindle::replication
--- a/src/replication/state_sender.cc
+++ b/src/replication/state_sender.cc
@@ -5,11 +5,11 @@
 Append StateSender::append_after(SequenceNumber base, std::vector<Row> rows) const {
   Append append;
   append.view = state_.view.number;
-  append.base = base;
+  append.base_sequence = base;
   append.base_term = state_.history.term_of(base);
   append.last_sequence = state_.table.last_sequence();
   append.rows = std::move(rows);
-  append.terms = state_.history.starting_after(base);
+  append.terms = state_.history.terms_after(base);
   append.origins = submissions_.origins_after(base);
   return append;
 }
@@ -18,7 +18,7 @@
 bool StateSender::history_contains(const StateRequest& request) const {
   return request.last_sequence >= state_.table.compacted_to() &&
          request.last_sequence <= state_.table.last_sequence() &&
-         state_.history.agrees(request.last_sequence, request.last_term);
+         state_.history.matches(request.last_sequence, request.last_term);
 }
 
 StateSender::Reply StateSender::reply_to(const StateRequest& request) const {
@@ -27,14 +27,14 @@
   auto missing = state_.table.scan_by_sequence({request.last_sequence + 1, {}}, chunk_bytes_);
   if (!missing.complete) return next_chunk(request, true);
   Append append = append_after(request.last_sequence, std::move(missing.rows));
-  append.answers = request.request;
+  append.in_reply_to = request.request;
   return {std::move(append), true};
 }
 
 // A transfer that was begun with another source goes on here if that one's place is in this history.
 bool StateSender::can_continue(const TransferProgress& progress, bool receiver_history_known) const {
   return progress.source_sequence <= state_.table.last_sequence() &&
-         state_.history.agrees(progress.source_sequence, progress.source_term) &&
+         state_.history.matches(progress.source_sequence, progress.source_term) &&
          progress.next_sequence > state_.table.compacted_to() &&
          (progress.whole_state || receiver_history_known);
 }
@@ -43,10 +43,10 @@
   const SequenceNumber last = state_.table.last_sequence();
   StateChunk chunk;
   chunk.view = state_.view.number;
-  chunk.answers = request.request;
-  chunk.first = !request.progress || !can_continue(*request.progress, receiver_history_known);
+  chunk.in_reply_to = request.request;
+  chunk.is_first = !request.progress || !can_continue(*request.progress, receiver_history_known);
   TransferProgress& progress = chunk.progress;
-  if (chunk.first) {
+  if (chunk.is_first) {
     progress.whole_state = !receiver_history_known || request.last_sequence == 0;
     progress.keys_scanned = !progress.whole_state;
     progress.next_sequence = (progress.whole_state ? last : request.last_sequence) + 1;
@@ -72,8 +72,7 @@
   progress.source_sequence = last;
   progress.source_term = state_.history.term_of(last);
   if (complete)
-    chunk.end =
-        TransferEnd{state_.history.starting_after(0), state_.table.compacted_to(), state_.table.size()};
+    chunk.end = TransferEnd{state_.history.terms_after(0), state_.table.compacted_to(), state_.table.size()};
   return {std::move(chunk), complete};
 }
 
--- a/src/replication/submission_queue.h
+++ b/src/replication/submission_queue.h
@@ -13,12 +13,12 @@
 
 class SubmissionQueue {
  public:
-  struct Offer {
+  struct Submission {
     ReplicaId origin;
     RequestId request = 0;
     std::uint64_t attempt = 0;
     Json command;
-    Instant at = 0;
+    Instant received_at = 0;
   };
   struct Reply {
     ReplicaId to;
@@ -26,19 +26,19 @@
   };
 
   // Adds an offer, unless the same one waits or is under way already.
-  void offer(Offer offer);
-  bool has_waiting() const { return !waiting_.empty(); }
-  std::vector<Offer> take_waiting();
+  void enqueue(Submission submission);
+  bool has_queued() const { return !queued_.empty(); }
+  std::vector<Submission> take_queued();
 
   // At the head: the offer became a change, changes nothing, or was refused. `sequence` is what the answer
   // rests on.
-  void add_change(const Offer& offer, SequenceNumber sequence);
-  void add_unchanged(const Offer& offer, SequenceNumber sequence);
-  void add_refusal(const Offer& offer, SequenceNumber sequence, Status status);
+  void add_change(const Submission& submission, SequenceNumber sequence);
+  void add_unchanged(const Submission& submission, SequenceNumber sequence);
+  void add_refusal(const Submission& submission, SequenceNumber sequence, Status status);
   // Behind the head: the origins of changes that came with them.
   void add_origins(const std::vector<Origin>& origins);
-  void clear_under_way() { under_way_.clear(); }
-  bool has_under_way() const { return !under_way_.empty(); }
+  void clear_in_flight() { in_flight_.clear(); }
+  bool has_in_flight() const { return !in_flight_.empty(); }
   // Origins of changes under way above a sequence number.
   std::vector<Origin> origins_after(SequenceNumber sequence) const;
   // Removes what is answered by a commit up to `committed`, and returns what this replica has to say of it.
@@ -46,14 +46,14 @@
 
  private:
   enum class Outcome { kChanged, kUnchanged, kRefused };
-  struct UnderWay {
+  struct InFlight {
     Origin origin;
     Outcome outcome = Outcome::kChanged;
     Status status{};
     std::uint64_t attempt = 0;  // that is answered
   };
-  std::vector<Offer> waiting_;
-  std::vector<UnderWay> under_way_;
+  std::vector<Submission> queued_;
+  std::vector<InFlight> in_flight_;
 };
 
 }  // namespace pebblespindle::replication
--- a/src/replication/term_history.cc
+++ b/src/replication/term_history.cc
@@ -11,24 +11,24 @@
 TermNumber TermHistory::term_of(SequenceNumber sequence) const {
   if (sequence == 0) return 0;
   for (auto it = terms_.rbegin(); it != terms_.rend(); ++it)
-    if (it->first <= sequence) return it->term;
+    if (it->first_sequence <= sequence) return it->term;
   return 0;
 }
 
-void TermHistory::begin(TermNumber term, SequenceNumber first) {
-  std::erase_if(terms_, [&](const TermStart& start) { return start.first >= first; });
+void TermHistory::record(TermNumber term, SequenceNumber first) {
+  std::erase_if(terms_, [&](const TermStart& start) { return start.first_sequence >= first; });
   terms_.push_back({term, first});
   if (terms_.size() > kMaxTerms) terms_.erase(terms_.begin());
 }
 
-void TermHistory::begin(const std::vector<TermStart>& terms) {
-  for (auto& start : terms) begin(start.term, start.first);
+void TermHistory::record(const std::vector<TermStart>& terms) {
+  for (auto& start : terms) record(start.term, start.first_sequence);
 }
 
-std::vector<TermStart> TermHistory::starting_after(SequenceNumber sequence) const {
+std::vector<TermStart> TermHistory::terms_after(SequenceNumber sequence) const {
   std::vector<TermStart> terms;
   for (auto& start : terms_)
-    if (start.first > sequence) terms.push_back(start);
+    if (start.first_sequence > sequence) terms.push_back(start);
   return terms;
 }
 
--- a/src/replication/types.cc
+++ b/src/replication/types.cc
@@ -2,7 +2,7 @@
 
 namespace pebblespindle::replication {
 
-ReplicaId new_identity(const std::string& host, std::uint64_t incarnation) {
+ReplicaId new_replica_id(const std::string& host, std::uint64_t incarnation) {
   static const char* const hex_digits = "0123456789abcdef";
   ReplicaId identity = host + '~';
   for (int i = 0; i < 8; ++i) identity += hex_digits[(incarnation >> (4 * i)) & 15];
--- a/src/replication/types.h
+++ b/src/replication/types.h
@@ -10,7 +10,7 @@
 // The identity of a replica: its host, and for one that started on an empty disk after the first start also a
 // mark drawn then ("10.1.0.4~9f31"). A disk that is lost takes the identity, and its vote, with it.
 using ReplicaId = std::string;
-ReplicaId new_identity(const std::string& host, std::uint64_t incarnation);
+ReplicaId new_replica_id(const std::string& host, std::uint64_t incarnation);
 std::string host_of(const ReplicaId& replica);
 
 using ViewNumber = std::uint64_t;
@@ -21,6 +21,6 @@
 using RequestId = std::uint64_t;
 
 // Numbers in messages are bounded: no count comes near it, and sums of two do not overflow.
-constexpr std::uint64_t kMaxNumber = 1ull << 62;
+constexpr std::uint64_t kMaxWireNumber = 1ull << 62;
 
 }  // namespace pebblespindle::replication
--- a/src/replication/view.cc
+++ b/src/replication/view.cc
@@ -25,12 +25,12 @@
   return {};
 }
 
-bool View::follows(const View& former) const {
+bool View::is_valid_successor_of(const View& former) const {
   if (number != former.number + 1 || members.size() < former.majority()) return false;
   if (term != (head() == former.head() ? former.term : number)) return false;
   std::size_t next = 0;  // the members kept stand in their order, then those that join
   for (auto& member : members) {
-    if (former.has(member.id)) {
+    if (former.has_member(member.id)) {
       while (next < former.members.size() && !(former.members[next] == member)) ++next;
       if (next++ >= former.members.size()) return false;
     } else {
--- a/src/replication/view.h
+++ b/src/replication/view.h
@@ -20,7 +20,7 @@
   std::vector<ReplicaId> voters;  // sorted
 
   const Member* find(const ReplicaId& id) const;  // null when it is no member
-  bool has(const ReplicaId& id) const { return find(id) != nullptr; }
+  bool has_member(const ReplicaId& id) const { return find(id) != nullptr; }
   bool has_voter(const ReplicaId& id) const;
   std::size_t majority() const { return voters.size() / 2 + 1; }
   // Each is empty where there is none.
@@ -30,7 +30,7 @@
   ReplicaId predecessor(const ReplicaId& id) const;
   // Whether it could have been proposed on top of `former`: a majority stays, in its order, and at most one
   // voter changes.
-  bool follows(const View& former) const;
+  bool is_valid_successor_of(const View& former) const;
   bool operator==(const View&) const = default;
 };
 
--- a/src/replication/view_change.cc
+++ b/src/replication/view_change.cc
@@ -72,7 +72,7 @@
   ProposalNumber highest = 0;
   for (auto& [id, promise] : promises_) {
     if (!promise.accepted || promise.accepted->proposal <= highest) continue;
-    if (!promise.accepted->view.follows(state_.view)) continue;
+    if (!promise.accepted->view.is_valid_successor_of(state_.view)) continue;
     highest = promise.accepted->proposal;
     value = promise.accepted->view;
   }
@@ -95,9 +95,9 @@
 void ViewChange::on_accept(Instant now, const ReplicaId& from, const Accept& accept) {
   const ViewNumber number = accept.view.number;
   if (number != state_.view.number + 1 || !state_.may_vote() || !state_.view.has_voter(from)) return;
-  if (!accept.view.follows(state_.view)) return;
+  if (!accept.view.is_valid_successor_of(state_.view)) return;
   if (state_.promised.view == number && state_.promised.number > accept.proposal) return;
-  if (lease_.must_wait_for_end(now, accept.view)) return;
+  if (lease_.must_wait_for_expiry(now, accept.view)) return;
   state_.promised = state_.accepted = {number, accept.proposal};
   state_.accepted_view = accept.view;
   if (!state_.save().is_ok()) return;
--- a/src/replication/view_lease.cc
+++ b/src/replication/view_lease.cc
@@ -12,7 +12,7 @@
 bool ViewLease::still_grants(const ReplicaId& member) const {
   const bool undecided = state_.accepted_view && state_.accepted.view == state_.view.number + 1;
   return !undecided ||
-         (state_.accepted_view->has(member) && state_.accepted_view->voters == state_.view.voters);
+         (state_.accepted_view->has_member(member) && state_.accepted_view->voters == state_.view.voters);
 }
 
 std::optional<LeaseGrant> ViewLease::grant(Instant now, const ReplicaId& from, const Heartbeat& heartbeat) {
@@ -23,7 +23,7 @@
     return std::nullopt;
   }
   const View& view = state_.view;
-  if (heartbeat.view != view.number || !view.has(from) || !state_.may_vote()) return std::nullopt;
+  if (heartbeat.view != view.number || !view.has_member(from) || !state_.may_vote()) return std::nullopt;
   if (lease.withheld_until && now < *lease.withheld_until) return std::nullopt;
   if (!still_grants(from)) return std::nullopt;
   // A member without the view's state holds no lease: it can be left out at once and let in anew.
@@ -36,7 +36,7 @@
 void ViewLease::on_grant(Instant now, const ReplicaId& from, const LeaseGrant& grant) {
   if (grant.view != state_.view.number) return;
   const Instant since = grant.heartbeat_sent_at;
-  if (since > now || (given_back_at_ && since <= *given_back_at_)) return;
+  if (since > now || (relinquished_at_ && since <= *relinquished_at_)) return;
   Lease& lease = leases_[from];
   lease.held_since = lease.held_since ? std::max(*lease.held_since, since) : since;
 }
@@ -51,22 +51,22 @@
   return voters >= state_.view.majority();
 }
 
-void ViewLease::give_back(Instant now) {
-  given_back_at_ = now;
+void ViewLease::relinquish(Instant now) {
+  relinquished_at_ = now;
   for (auto& [id, lease] : leases_) lease.held_since.reset();
 }
 
-bool ViewLease::must_wait_for_end(Instant now, const View& next) {
+bool ViewLease::must_wait_for_expiry(Instant now, const View& next) {
   for (auto& member : state_.view.members) {
-    if (next.has(member.id) || member.id == state_.self) continue;
+    if (next.has_member(member.id) || member.id == state_.self) continue;
     Lease& lease = leases_[member.id];
     Instant last = started_;
     if (lease.granted_at) last = std::max(last, *lease.granted_at);
     // Voters of former views may have granted it one; one that says in this view that it takes no part acts
     // on none of theirs.
     const Peer* peer = peers_.find(member.id);
-    const bool gave_back = peer && peer->not_participating && peer->view == state_.view.number;
-    if (!gave_back) last = std::max(last, voters_changed_at_);
+    const bool relinquished = peer && peer->not_participating && peer->view == state_.view.number;
+    if (!relinquished) last = std::max(last, voters_changed_at_);
     if (now < last + kViewLeaseMs + kClockDriftMarginMs) {
       lease.withheld_until = now + 2 * kViewLeaseMs;
       return true;
--- a/src/replication/view_lease.h
+++ b/src/replication/view_lease.h
@@ -29,10 +29,10 @@
   // Whether this member holds its place, and will for `guard` longer.
   bool is_held(Instant now, Millis guard = 0) const;
   // This replica acts on no lease that it was given, also on those that are on their way.
-  void give_back(Instant now);
+  void relinquish(Instant now);
   // Whether this voter has to wait before it accepts the view, for the end of a lease of a member that it
   // leaves out. That member gets no further lease meanwhile, so that the end comes.
-  bool must_wait_for_end(Instant now, const View& next);
+  bool must_wait_for_expiry(Instant now, const View& next);
   void on_new_view(Instant now, bool voters_changed);
 
  private:
@@ -48,7 +48,7 @@
   const PeerTable& peers_;
   const Instant started_;
   Instant voters_changed_at_;
-  std::optional<Instant> given_back_at_;
+  std::optional<Instant> relinquished_at_;
   std::map<ReplicaId, Lease> leases_;  // by the other side
 };
 
--- a/src/replication/view_planner.h
+++ b/src/replication/view_planner.h
@@ -14,33 +14,33 @@
 
 class ViewPlanner {
  public:
-  ViewPlanner(const LocalState& state, PeerTable& peers, std::size_t voters_wanted)
-      : state_(state), peers_(peers), voters_wanted_(voters_wanted) {}
+  ViewPlanner(const LocalState& state, PeerTable& peers, std::size_t target_voter_count)
+      : state_(state), peers_(peers), target_voter_count_(target_voter_count) {}
 
-  struct Situation {
+  struct Conditions {
     bool leaving = false;                  // this replica wants to hand over and end
     std::optional<Instant> stalled_since;  // the successor stores nothing of what it was sent
     bool accepted_view_is_stale = false;   // accepted, but not decided for too long
   };
   // None when the present view is fine, or no next one can be had.
-  std::optional<View> next_view(Instant now, const Situation& situation) const;
+  std::optional<View> next_view(Instant now, const Conditions& conditions) const;
   // Notes since when members lack the view's state. Call it at every tick.
-  void observe_members(Instant now);
+  void track_out_of_sync_members(Instant now);
   bool is_peer_in_sync(const ReplicaId& peer) const;
-  bool has_all_voters() const { return state_.view.voters.size() >= voters_wanted_; }
+  bool has_all_voters() const { return state_.view.voters.size() >= target_voter_count_; }
 
  private:
-  bool is_away(Instant now, std::size_t position, const Situation& situation) const;
+  bool is_away(Instant now, std::size_t position, const Conditions& conditions) const;
   bool could_have_state(Instant now, const ReplicaId& member) const;
-  bool is_leaving(const ReplicaId& id, const Situation& situation) const;
+  bool is_leaving(const ReplicaId& id, const Conditions& conditions) const;
   bool plans_voters(const View& next) const;
   // Each returns whether it changed the view.
-  bool change_voter(Instant now, const Situation& situation, View& next, std::size_t& seats) const;
+  bool change_voter(Instant now, const Conditions& conditions, View& next, std::size_t& seats) const;
   bool add_members(Instant now, View& next, std::size_t seats) const;
 
   const LocalState& state_;
   PeerTable& peers_;
-  const std::size_t voters_wanted_;
+  const std::size_t target_voter_count_;
 };
 
 }  // namespace pebblespindle::replication
--- a/tests/config/command_cluster.h
+++ b/tests/config/command_cluster.h
@@ -103,7 +103,7 @@
   }
   void kill(const std::string& host, bool wipe = false) {
     cores[host]->node.reset();
-    net.forget(host);
+    net.drop_messages_of(host);
     if (wipe) cores[host]->disk = MemoryStorage();
   }
   void run(Millis ms) {
@@ -191,7 +191,7 @@
     }
   }
 
-  SimNet net;
+  SimulatedNetwork net;
   std::size_t losses;
   std::vector<std::string> hosts;
   std::map<std::string, std::unique_ptr<OrderCore>> cores;
--- a/tests/config/command_simulation_test.cc
+++ b/tests/config/command_simulation_test.cc
@@ -27,7 +27,7 @@
            : seed % 3 == 1 ? 4
                            : 3,
            seed % 3 == 0 ? 2 : 1) {
-    p_.net.loss = seed % 5 == 0 ? 0.01 : 0;
+    p_.net.loss_rate = seed % 5 == 0 ? 0.01 : 0;
   }
   void run(int steps) {
     ASSERT_NO_FATAL_FAILURE(p_.run(400));
@@ -83,7 +83,7 @@
 
   void trouble() {
     Millis now = p_.net.now;
-    if (healed_ && now >= healed_) p_.net.cuts.clear(), healed_ = 0;
+    if (healed_ && now >= healed_) p_.net.blocked_links.clear(), healed_ = 0;
     for (auto& [host, at] : back_)
       if (now >= at && !p_.up(host)) p_.start(host);
     const std::string host = any();
@@ -119,8 +119,8 @@
         if (healed_) break;
         for (auto& other : p_.hosts)
           if (other != host) {
-            if (!chance(0.2)) p_.net.cuts.insert({host, other});
-            if (!chance(0.2)) p_.net.cuts.insert({other, host});
+            if (!chance(0.2)) p_.net.blocked_links.insert({host, other});
+            if (!chance(0.2)) p_.net.blocked_links.insert({other, host});
           }
         healed_ = now + 100 + p_.net.pick(chance(0.5) ? 500 : 3000);
         break;
@@ -140,8 +140,8 @@
 
   // All is well again: every order gets its clear answer, at any core, and the same as ever.
   void calm() {
-    p_.net.cuts.clear();
-    p_.net.loss = 0;
+    p_.net.blocked_links.clear();
+    p_.net.loss_rate = 0;
     for (auto& h : p_.hosts)
       if (!p_.up(h)) p_.start(h);
     for (int step = 0, still = 0; step < 100 && still < 3; ++step) {
--- a/tests/config/command_validation_test.cc
+++ b/tests/config/command_validation_test.cc
@@ -227,7 +227,7 @@
   p.offer(x, head, count);  // twice: the second finds itself taken
   const auto stored = p.at(head).state().last_sequence();
   while (p.at(next).state().last_sequence() < stored) p.run(1);
-  p.net.cuts.insert({head, next});
+  p.net.blocked_links.insert({head, next});
   p.run(replication::kSubmitRetryMs / 2);
   // Word of the commit before comes once more, and makes the head look through what it has to answer.
   receive_encoded(p.at(head), p.net.now, next,
@@ -237,7 +237,7 @@
   ASSERT_EQ(newest_applied_change(p.at(head).state())->revision, 8u);
   EXPECT_EQ(answers, 0) << "an answer that rests on what may be lost";
   p.kill(head, true);
-  p.net.cuts.clear();
+  p.net.blocked_links.clear();
   p.run(6000);
   ASSERT_FALSE(p.orders[y].refused);
   p.offer(y, next);
@@ -257,7 +257,7 @@
     Port p(by_patch ? 6 : 7, 4);
     p.run(3000);
     const std::string head = head_of(p), asked = "core3";  // a fourth one, that has no place in the chain
-    ASSERT_FALSE(p.at(head).view().has(p.at(asked).self()));
+    ASSERT_FALSE(p.at(head).view().has_member(p.at(asked).self()));
     p.offer(p.draw(put(0, 3, 1)), head);
     p.run(200);
     auto x = p.draw(by_patch ? patch(3, 4, 2) : put(3, 4, 2));
@@ -265,9 +265,9 @@
     p.offer(x, asked, [&](int s) { heard = s; });
     while (p.history.size() < 2) p.run(1);  // committed at the tail; the answer is on its way
     for (auto& h : p.hosts)
-      if (h != asked) p.net.cuts.insert({h, asked});
+      if (h != asked) p.net.blocked_links.insert({h, asked});
     p.run(20);
-    p.net.cuts.clear();
+    p.net.blocked_links.clear();
     ASSERT_EQ(heard, -1);
     auto after = p.draw(put(4, 6, 3));
     p.offer(after, head);
@@ -289,7 +289,7 @@
   p.run(1000);
   ASSERT_TRUE(p.at(head).all_committed() && p.history.size() == 1) << "it has nothing to wait for";
   for (auto& h : p.hosts)
-    if (h != head) p.net.cuts.insert({h, head}), p.net.cuts.insert({head, h});
+    if (h != head) p.net.blocked_links.insert({h, head}), p.net.blocked_links.insert({head, h});
   std::vector<std::size_t> asked{p.draw(put(0, 9, 2)), p.draw(put(3, 8, 3)), p.draw(patch(3, 7, 4)),
                                  p.draw(put(3, 2, 5))};
   int clear = 0;
@@ -300,7 +300,7 @@
   }
   EXPECT_EQ(clear, 0);
   EXPECT_EQ(p.history.size(), 1u);
-  p.net.cuts.clear();
+  p.net.blocked_links.clear();
   p.run(4000);
   for (auto id : asked) {
     p.offer(id, head);
--- a/tests/config/config_delivery_test.cc
+++ b/tests/config/config_delivery_test.cc
@@ -165,7 +165,7 @@
       ASSERT_NO_FATAL_FAILURE(check());
     }
   }
-  SimNet net;
+  SimulatedNetwork net;
   std::vector<std::string> hosts;
   std::map<std::string, std::unique_ptr<Core>> cores;
   std::vector<Machine> machines;
@@ -251,16 +251,17 @@
       case 3: {  // a core straight back, or put out
         if (!w.cores[host]->node) break;
         w.cores[host]->node.reset();
-        w.net.forget(host);
+        w.net.drop_messages_of(host);
         w.run(w.net.chance(0.6) ? w.net.pick(200) : 1500 + w.net.pick(1500));
         w.start(host);
         break;
       }
       case 4: {  // a core loses touch with the others; nodes still reach it
         for (auto& other : w.hosts)
-          if (other != host) w.net.cuts.insert({host, other}), w.net.cuts.insert({other, host});
+          if (other != host)
+            w.net.blocked_links.insert({host, other}), w.net.blocked_links.insert({other, host});
         ASSERT_NO_FATAL_FAILURE(w.run(300 + w.net.pick(2000)));
-        w.net.cuts.clear();
+        w.net.blocked_links.clear();
         break;
       }
       default:
--- a/tests/pooler/lease_test.cc
+++ b/tests/pooler/lease_test.cc
@@ -7,7 +7,7 @@
 // The head is not heard by one core alone, which has it put out; the head itself accepts that and never hears
 // how it was decided. The leases that the third core gave it still run: it must not act on them any more.
 TEST(Lease, ACoreThatHasAcceptedItsOwnRemovalActsOnNoLease) {
-  Fleet f(21);
+  ReplicaCluster f(21);
   f.run(1500);
   ASSERT_TRUE(f.at("core0").is_leader(f.net.now));
   auto deliver = f.net.deliver;
--- a/tests/replication/faulty_cluster.h
+++ b/tests/replication/faulty_cluster.h
@@ -48,8 +48,9 @@
   int floor() const { return std::max(acked, read); }
 };
 
-struct Days : Fleet {
-  Days(std::uint32_t seed, int n, int founders, std::size_t bear) : Fleet(seed, n, founders, bear) {
+struct FaultyCluster : ReplicaCluster {
+  FaultyCluster(std::uint32_t seed, int n, int founders, std::size_t tolerated_losses)
+      : ReplicaCluster(seed, n, founders, tolerated_losses) {
     for (int i = 0; i < 3; ++i) writers.push_back({"k" + std::to_string(i), 0, 0, 0, true, 0});
     for (int i = 0; i < 3; ++i) hangers.push_back({"node" + std::to_string(i), "", {}, -10000, 0});
     net.deliver = [this](const std::string& to, const std::string& from, const Json& m) {
@@ -59,8 +60,8 @@
       }
       if (m["t"] != "b") stirred = true;  // a beat seats nobody at the one that hears it
       auto c = cores.find(to);
-      if (c != cores.end() && c->second && c->second->node)
-        receive_encoded(*c->second->node, net.now, from, m);
+      if (c != cores.end() && c->second && c->second->replica)
+        receive_encoded(*c->second->replica, net.now, from, m);
     };
   }
   std::string any() { return hosts[std::size_t(net.pick(int(hosts.size())))]; }
@@ -68,7 +69,7 @@
 
   // What a core does for a machine that hangs at it (Controller::on_agent).
   void serve(const std::string& host, Hanger& x, const Json& m) {
-    if (!up(host)) return;
+    if (!is_running(host)) return;
     Replica& node = at(host);
     ConfigDelivery& d = links[host][x.name];
     if (m["t"] == "hi") d = {}, d.start(m["have"]);
@@ -126,7 +127,7 @@
   void offer(Writer& w) {
     std::string host = any();
     w.next = now() + 300 + net.pick(800);
-    if (!up(host)) return;
+    if (!is_running(host)) return;
     if (w.done) ++w.value, w.done = false;
     ++offered;
     Millis asked = now();
@@ -143,7 +144,7 @@
   }
   void ask(Writer& w) {
     std::string host = any();
-    if (!up(host)) return;
+    if (!is_running(host)) return;
     at(host).read(now(), w.key, [&w, floor = w.floor()](const Result<std::optional<std::string>>& value) {
       if (!value) return;
       int got = *value ? std::stoi(**value) : 0;
@@ -157,7 +158,7 @@
   // Two race for a key, each with changes of its own: one that was refused is never in force.
   void race() {
     std::string host = any();
-    if (!up(host)) return;
+    if (!is_running(host)) return;
     int to = ++raced;
     at(host).submit(now(), {{"key", "race"}, {"expect", race_base()}, {"value", std::to_string(to)}},
                     [this, to](Status a) {
@@ -177,7 +178,7 @@
     bool beat = net.now % 20 == 0;
     if (beat) {
       for (auto& host : hosts)
-        if (up(host)) {
+        if (is_running(host)) {
           at(host).tick(now());
           if (net.now % 60 == 0)
             for (auto& [name, d] : links[host]) feed(host, name, d);
@@ -200,15 +201,15 @@
   void check() {
     int heads = 0, tails = 0;
     for (auto& host : hosts) {
-      if (!up(host)) continue;
+      if (!is_running(host)) continue;
       Replica& node = at(host);
       if (node.is_leader(now())) {
         ++heads;
-        if (node.self() != holder) {
-          ASSERT_GT(node.view().term, top) << "a new holder without a higher token";
+        if (node.self() != last_leader) {
+          ASSERT_GT(node.view().term, highest_term) << "a new holder without a higher token";
         }
-        holder = node.self();
-        top = node.view().term;
+        last_leader = node.self();
+        highest_term = node.view().term;
       }
       tails += node.is_tail() && node.holds_lease(now());
       if (node.all_committed() && node.committed() > checked[host]) {
@@ -223,17 +224,17 @@
   Replica& newest() {
     Replica* newest = nullptr;
     for (auto& host : hosts)
-      if (up(host) && (!newest || at(host).view().number > newest->view().number)) newest = &at(host);
+      if (is_running(host) && (!newest || at(host).view().number > newest->view().number)) newest = &at(host);
     return *newest;
   }
   // All are in step, vote in full number, and hold what was acknowledged.
   void whole(std::size_t running) {
     auto& v = newest().view();
-    EXPECT_EQ(v.voters.size(), std::min(running, 2 * losses + 1)) << now();
+    EXPECT_EQ(v.voters.size(), std::min(running, 2 * tolerated_losses + 1)) << now();
     for (auto& name : v.voters) {
       std::string host = replication::host_of(name);
-      ASSERT_TRUE(up(host) && at(host).self() == name) << name << " votes and is gone, at " << now();
-      EXPECT_TRUE(v.has(name)) << name << " votes and is no member";
+      ASSERT_TRUE(is_running(host) && at(host).self() == name) << name << " votes and is gone, at " << now();
+      EXPECT_TRUE(v.has_member(name)) << name << " votes and is no member";
     }
     for (auto& m : v.members) {
       Replica& node = at(replication::host_of(m.id));
--- a/tests/replication/pending_requests_test.cc
+++ b/tests/replication/pending_requests_test.cc
@@ -31,7 +31,7 @@
     told.push_back(value.status().code());
   });
   EXPECT_TRUE(told.empty());
-  requests.end();
+  requests.shut_down();
   const std::vector<StatusCode> no_answer(2, StatusCode::kNoAnswer);
   EXPECT_EQ(told, no_answer) << "not a refusal: it may have been committed";
   requests.submit(2, view, Json{{"op", "y"}}, [&](const Status& status) { told.push_back(status.code()); });
--- a/tests/replication/replica_cluster.h
+++ b/tests/replication/replica_cluster.h
@@ -16,14 +16,14 @@
 
 using replication::Replica;
 
-struct Fleet;
+struct ReplicaCluster;
 
-struct Core : replication::Environment {
-  Fleet& fleet;
+struct SimulatedReplica : replication::Environment {
+  ReplicaCluster& cluster;
   std::string host;
   MemoryStorage disk;
-  std::unique_ptr<Replica> node;
-  Core(Fleet& f, std::string h) : fleet(f), host(std::move(h)) {}
+  std::unique_ptr<Replica> replica;
+  SimulatedReplica(ReplicaCluster& f, std::string h) : cluster(f), host(std::move(h)) {}
   void send(const std::string& to, const replication::Message& m) override;
   replication::ValidationResult validate(const StateTable& state, const Json& u) override {
     // {key, expect, value}: a compare-and-set, as the configuration and the leads use it.
@@ -34,43 +34,43 @@
     return {Status::ok(),
             {{u["key"], u["value"], 0, u["value"] == ""}}};  // an empty value takes the row away
   }
-  int rises = 0;  // of what is committed: each is fed to every node
+  int commit_count = 0;  // of what is committed: each is fed to every node
   void on_committed() override;
   void log_event(const std::string& t) override;
 };
 
-struct Fleet {
+struct ReplicaCluster {
   // The first `founders` of n cores are the seeds.
-  explicit Fleet(std::uint32_t seed, int n = 3, int founders = 3, std::size_t bear = 1)
-      : net(seed), losses(bear) {
+  explicit ReplicaCluster(std::uint32_t seed, int n = 3, int founders = 3, std::size_t tolerated_losses = 1)
+      : net(seed), tolerated_losses(tolerated_losses) {
     for (int i = 0; i < n; ++i) hosts.push_back("core" + std::to_string(i));
     seeds.assign(hosts.begin(), hosts.begin() + founders);
     for (auto& host : hosts) start(host, true);
     net.deliver = [this](const std::string& to, const std::string& from, const Json& m) {
       auto& c = cores[to];
-      if (c && c->node) receive_encoded(*c->node, net.now, from, m);
+      if (c && c->replica) receive_encoded(*c->replica, net.now, from, m);
     };
   }
-  Replica& at(const std::string& host) { return *cores[host]->node; }
-  bool up(const std::string& host) { return cores[host] && cores[host]->node; }
+  Replica& at(const std::string& host) { return *cores[host]->replica; }
+  bool is_running(const std::string& host) { return cores[host] && cores[host]->replica; }
   void start(const std::string& host, bool bootstrap = false) {
     auto& c = cores[host];
-    if (!c) c = std::make_unique<Core>(*this, host);
-    c->node = std::make_unique<Replica>(
-        replication::ReplicaOptions{host, seeds, bootstrap, losses,
-                                    std::uint64_t(net.rng()) << 20 | net.rng(), piece_bytes},
+    if (!c) c = std::make_unique<SimulatedReplica>(*this, host);
+    c->replica = std::make_unique<Replica>(
+        replication::ReplicaOptions{host, seeds, bootstrap, tolerated_losses,
+                                    std::uint64_t(net.rng()) << 20 | net.rng(), chunk_bytes},
         c->disk, *c, net.now);
   }
-  void stop(const std::string& host, bool wipe = false) {
-    cores[host]->node.reset();
-    net.forget(host);
-    if (wipe) cores[host]->disk = MemoryStorage();
+  void stop(const std::string& host, bool lose_disk = false) {
+    cores[host]->replica.reset();
+    net.drop_messages_of(host);
+    if (lose_disk) cores[host]->disk = MemoryStorage();
   }
-  void cut_off(const std::string& host, bool both_ways) {
+  void isolate(const std::string& host, bool both_directions) {
     for (auto& other : hosts)
       if (other != host) {
-        net.cuts.insert({other, host});
-        if (both_ways) net.cuts.insert({host, other});
+        net.blocked_links.insert({other, host});
+        if (both_directions) net.blocked_links.insert({host, other});
       }
   }
   void run(Millis ms) {
@@ -79,16 +79,16 @@
       if (!net.step() && net.now % 20 != 0) continue;
       int leaders = 0, tails = 0;
       for (auto& host : hosts) {
-        if (!up(host)) continue;
+        if (!is_running(host)) continue;
         if (net.now % 20 == 0) at(host).tick(net.now);
         if (at(host).is_leader(net.now)) {
           ++leaders;
           auto token = at(host).view().term;
-          if (at(host).self() != holder) {
-            ASSERT_GT(token, top) << "a new holder without a higher token";
+          if (at(host).self() != last_leader) {
+            ASSERT_GT(token, highest_term) << "a new holder without a higher token";
           }
-          holder = at(host).self();
-          top = token;
+          last_leader = at(host).self();
+          highest_term = token;
         }
         tails += at(host).is_tail() && at(host).holds_lease(net.now);
       }
@@ -99,7 +99,7 @@
   // One history: the same number never stands for two different rows once it is committed somewhere.
   void check_history() {
     for (auto& host : hosts) {
-      if (!up(host) || !at(host).all_committed()) continue;
+      if (!is_running(host) || !at(host).all_committed()) continue;
       for (auto& r : at(host).state().rows_after(0)) {
         auto [it, fresh] = history.emplace(r.sequence, r);
         ASSERT_EQ(it->second, r) << "number " << r.sequence << " stands for two rows";
@@ -121,25 +121,25 @@
     run(replication::kSubmitTimeoutMs + 50);
     return out;
   }
-  SimNet net;
-  std::size_t losses, piece_bytes = replication::kStateChunkBytes;
+  SimulatedNetwork net;
+  std::size_t tolerated_losses, chunk_bytes = replication::kStateChunkBytes;
   std::vector<std::string> hosts, seeds;
-  std::map<std::string, std::unique_ptr<Core>> cores;
+  std::map<std::string, std::unique_ptr<SimulatedReplica>> cores;
   std::map<std::uint64_t, Row> history;
-  std::string holder;  // of the duty
-  std::uint64_t top = 0;
+  std::string last_leader;  // of the duty
+  std::uint64_t highest_term = 0;
 };
 
-inline void Core::send(const std::string& to, const replication::Message& m) {
-  fleet.net.send(node ? node->self() : host, replication::host_of(to), replication::encode(m));
+inline void SimulatedReplica::send(const std::string& to, const replication::Message& m) {
+  cluster.net.send(replica ? replica->self() : host, replication::host_of(to), replication::encode(m));
 }
-inline void Core::log_event(const std::string& t) {
+inline void SimulatedReplica::log_event(const std::string& t) {
   if (std::getenv("CHAIN_NOTES"))
-    std::printf("%lld %s: %s\n", (long long)fleet.net.now, host.c_str(), t.c_str());
+    std::printf("%lld %s: %s\n", (long long)cluster.net.now, host.c_str(), t.c_str());
 }
-inline void Core::on_committed() {
-  ++rises;
-  fleet.check_history();
+inline void SimulatedReplica::on_committed() {
+  ++commit_count;
+  cluster.check_history();
 }
 
 }  // namespace pebblespindle::test
--- a/tests/replication/replica_faults_test.cc
+++ b/tests/replication/replica_faults_test.cc
@@ -13,12 +13,12 @@
 void cut_days(std::uint32_t seed, bool twenty) {
   SCOPED_TRACE(seed);
   bool five = seed % 4 == 0;
-  Days d(seed, five ? 5 : 3, 3, five ? 2 : 1);
+  FaultyCluster d(seed, five ? 5 : 3, 3, five ? 2 : 1);
   d.go(five ? 4000 : 1200);
   d.busy = true;
   auto place = [&](int which) {  // head, tail, a middle, or any
     for (auto& h : d.hosts)
-      if (d.up(h) && d.at(h).holds_lease(d.now())) {
+      if (d.is_running(h) && d.at(h).holds_lease(d.now())) {
         auto& m = d.at(h).view().members;
         auto& one = which == 0   ? m.front()
                     : which == 1 ? m.back()
@@ -30,14 +30,13 @@
   auto cut = [&](const std::string& one, int way) {
     for (auto& other : d.hosts) {
       if (other == one) continue;
-      if (way != 1) d.net.cuts.insert({one, other});  // 1: it is heard and does not hear
-      if (way != 2) d.net.cuts.insert({other, one});  // 2: it hears and is not heard
+      if (way != 1) d.net.blocked_links.insert({one, other});  // 1: it is heard and does not hear
+      if (way != 2) d.net.blocked_links.insert({other, one});  // 2: it hears and is not heard
     }
-    if (way == 3) d.net.forget(one);  // reset: what was on its way is lost
-    if (way == 4)                     // a single link, one way
-      std::erase_if(d.net.cuts, [&, keep = d.hosts[std::size_t(d.net.pick(int(d.hosts.size())))]](auto& c) {
-        return c.first != one || c.second != keep;
-      });
+    if (way == 3) d.net.drop_messages_of(one);  // reset: what was on its way is lost
+    if (way == 4)                               // a single link, one way
+      std::erase_if(d.net.blocked_links, [&, keep = d.hosts[std::size_t(d.net.pick(int(d.hosts.size())))]](
+                                             auto& c) { return c.first != one || c.second != keep; });
   };
   for (int round = 0; round < 2; ++round) {
     std::string one = place(d.net.pick(3));
@@ -46,14 +45,14 @@
       if (d.net.chance(0.5)) x.core = one, x.heard = d.now();  // at the wrong side
     d.go(twenty ? 20000 + d.net.pick(4000) : 1200 + d.net.pick(1600));
     if (d.net.chance(0.2)) d.restart(d.net.chance(0.5) ? one : d.any(), d.net.pick(300));
-    d.net.cuts.clear();
+    d.net.blocked_links.clear();
     if (round == 0 && d.net.chance(0.5))
       d.go(d.net.pick(800));  // the second as the first one heals
     else
       d.go(1500);
     if (testing::Test::HasFailure()) return;
   }
-  d.net.cuts.clear();
+  d.net.blocked_links.clear();
   d.go(five ? 6000 : 4000);
   if (!testing::Test::HasFailure()) d.whole(d.hosts.size());
   EXPECT_GT(d.answered, 0);
@@ -66,12 +65,12 @@
 // A refusal, like a value, counts only from the core that was asked, and a refusal only for the last try: the
 // update may have been taken after an earlier one.
 TEST(ReplicaFaults, ARefusalCountsForTheLastTryOnly) {
-  Days d(3, 3, 3, 1);
+  FaultyCluster d(3, 3, 3, 1);
   d.go(1500);
   auto view = d.at("core0").view();
   std::string head = view.head(), tail = view.tail(), one = view.members[1].id;
   Replica& node = d.at(one);
-  d.cut_off(one, true);
+  d.isolate(one, true);
   int status = -1, told = -1;
   node.submit(d.now(), {{"key", "k0"}, {"expect", ""}, {"value", "1"}},
               [&](Status a) { status = answer_code(a); });
@@ -80,7 +79,7 @@
   });
   // The ids of the two, as their messages name them.
   std::uint64_t id = 0;
-  d.net.cuts.clear();
+  d.net.blocked_links.clear();
   d.net.deliver = [&](const std::string&, const std::string&, const Json& m) {
     if (m["t"] == "sub") id = m["id"];
   };
@@ -102,7 +101,7 @@
 
 // An offer that was long on its way, to the head of a former view, is taken by nobody.
 TEST(ReplicaFaults, AnOfferOfAFormerViewIsNotTaken) {
-  Days d(4, 3, 3, 1);
+  FaultyCluster d(4, 3, 3, 1);
   d.go(1500);
   Replica& head = d.at(d.at("core0").view().head());
   auto before = head.state().last_sequence();
@@ -122,16 +121,16 @@
 
 // The tail's word is an acknowledgement. Without a seat it keeps it to itself, though the change has come.
 TEST(ReplicaFaults, ATailWithoutASeatAcknowledgesNothing) {
-  Days d(5, 3, 3, 1);
+  FaultyCluster d(5, 3, 3, 1);
   d.go(1500);
   auto view = d.at("core0").view();
   Replica& tail = d.at(view.tail());
   auto n = tail.state().last_sequence();
-  d.cut_off(replication::host_of(view.tail()), true);
+  d.isolate(replication::host_of(view.tail()), true);
   d.go(980);
   ASSERT_FALSE(tail.holds_lease(d.now()));
   ASSERT_EQ(tail.view().number, view.number);
-  d.net.cuts.clear();
+  d.net.blocked_links.clear();
   int acks = 0;
   d.net.deliver = [&](const std::string&, const std::string&, const Json& m) { acks += m["t"] == "done"; };
   receive_encoded(tail, d.now(), view.members[1].id,
@@ -149,7 +148,7 @@
 
 // A head that has accepted a view without itself acts no more, though another's lease to it runs on.
 TEST(ReplicaFaults, WhoHasAcceptedAViewWithoutItselfHasNoSeat) {
-  Days d(14258, 3, 3, 1);
+  FaultyCluster d(14258, 3, 3, 1);
   d.go(1500);
   auto view = d.at("core0").view();
   Replica& head = d.at(view.head());
@@ -157,7 +156,7 @@
   ++next.number;
   next.members.erase(next.members.begin());
   next.term = next.number;
-  d.net.cuts.insert({view.members[1].id, view.head()});  // one other grants, as the head itself does
+  d.net.blocked_links.insert({view.members[1].id, view.head()});  // one other grants, as the head itself does
   d.go(1000);
   ASSERT_EQ(head.view().number, view.number);
   ASSERT_TRUE(head.is_leader(d.now()));
@@ -168,13 +167,13 @@
 
 // Whom a machine may turn to is told by cores that know today's view: also by one that stands by.
 TEST(ReplicaFaults, OnlyWhoHearsAMajorityTellsWhereToTurn) {
-  Days d(6, 4, 3, 1);
+  FaultyCluster d(6, 4, 3, 1);
   d.go(3000);
   auto& by = d.at("core3");
   EXPECT_FALSE(by.holds_lease(d.now()));
   EXPECT_TRUE(by.hears_majority(d.now()));
-  d.cut_off("core3", true);
-  d.cut_off("core1", false);
+  d.isolate("core3", true);
+  d.isolate("core1", false);
   d.go(1300);
   EXPECT_FALSE(by.hears_majority(d.now()));
   EXPECT_FALSE(d.at("core1").hears_majority(d.now()));
@@ -186,7 +185,7 @@
 TEST(ReplicaFaults, MutatedMessagesChangeNothingThatIsCommitted) {
   each_seed(100, [](std::uint32_t seed) {
     SCOPED_TRACE(seed);
-    Days d(seed, 3, 3, 1);
+    FaultyCluster d(seed, 3, 3, 1);
     std::vector<Json> met;
     auto deliver = d.net.deliver;
     d.net.deliver = [&](const std::string& to, const std::string& from, const Json& m) {
@@ -252,7 +251,7 @@
 // --- 3. a second loss right after a repair ----------------------------------------------------------------
 
 // Ends in order, as the process does: it hands over, steps out, and is gone 50 ms later. How long that took.
-Millis end_in_order(Days& d, const std::string& one) {
+Millis end_in_order(FaultyCluster& d, const std::string& one) {
   Millis since = d.now();
   d.at(one).begin_leaving(d.now());
   while (!d.at(one).may_exit(d.now()) && d.now() < since + kHandOverTimeoutMs && !testing::Test::HasFailure())
@@ -264,18 +263,18 @@
   return d.now() - since;
 }
 
-void arrive(Days& d, const std::string& fresh) {
+void arrive(FaultyCluster& d, const std::string& fresh) {
   d.hosts.push_back(fresh);
   d.seeds = d.hosts;
   d.start(fresh);
 }
 
 // Right after the next thing of that kind: a decided view, a member's whole state, a voter exchanged.
-void until(Days& d, int kind) {
+void until(FaultyCluster& d, int kind) {
   auto look = [&] {
     Json seen = Json::array();
     for (auto& h : d.hosts) {
-      if (!d.up(h)) continue;
+      if (!d.is_running(h)) continue;
       auto& v = d.at(h).view();
       if (kind == 0) seen.push_back(v.number);
       if (kind == 1) seen.push_back(d.at(h).in_sync());
@@ -291,8 +290,8 @@
   SCOPED_TRACE(seed);
   const bool five = seed % 4 == 0;
   bool spare = seed % 2 == 1 || seed % 8 == 0;
-  const std::size_t bear = five ? 2 : 1;
-  Days d(seed, (five ? 5 : 3) + spare, 3, bear);
+  const std::size_t tolerated_losses = five ? 2 : 1;
+  FaultyCluster d(seed, (five ? 5 : 3) + spare, 3, tolerated_losses);
   const Millis catch_up = five ? 6000 : 4000;
   d.go(five ? 6000 : 2000);
   d.busy = true;
@@ -301,7 +300,7 @@
     const std::string fresh = "core" + std::to_string(100 + round);
     auto voter = [&] {
       std::string h = d.any();
-      while (!testing::Test::HasFailure() && !(d.up(h) && d.at(h).view().has_voter(d.at(h).self())))
+      while (!testing::Test::HasFailure() && !(d.is_running(h) && d.at(h).view().has_voter(d.at(h).self())))
         h = d.any();
       return h;
     };
@@ -351,7 +350,7 @@
       case 5: {  // all lose power, and as many as may be lost their disks
         for (auto& h : d.hosts) d.stop(h);
         d.links.clear();
-        for (std::size_t i = 0; i < bear; ++i) d.cores[d.any()]->disk = MemoryStorage();
+        for (std::size_t i = 0; i < tolerated_losses; ++i) d.cores[d.any()]->disk = MemoryStorage();
         d.go(d.net.pick(1500));
         for (auto& h : d.hosts) d.start(h);
         second = false;
@@ -359,15 +358,15 @@
         break;
       }
       case 6:  // cut off
-        d.cut_off(one, d.net.chance(0.6));
+        d.isolate(one, d.net.chance(0.6));
         d.go(1500 + d.net.pick(2000));
-        d.net.cuts.clear();
+        d.net.blocked_links.clear();
         break;
     }
     if (second) {
       until(d, d.net.pick(3));
       std::string next = d.any();
-      if (next != one && d.up(next) && next != fresh) {
+      if (next != one && d.is_running(next) && next != fresh) {
         d.stop(next, true);
         d.go(d.net.pick(1000));
         d.start(next);
@@ -387,7 +386,7 @@
   each_seed(500, [](std::uint32_t seed) { loss_days(seed, seed % 3 ? 1 : 2); });
 }
 
-void head_gives_its_vote_away(Days& d) {
+void head_gives_its_vote_away(FaultyCluster& d) {
   d.go(3000);
   Replica& head = d.at("core0");
   ASSERT_TRUE(head.is_leader(d.now()));
@@ -400,7 +399,7 @@
 
 // A head that has given its vote away, and came back, is the head still: the next view is decided over it.
 TEST(ReplicaFaults, AHeadWithoutAVoteDoesNotStopTheNextView) {
-  Days d(273, 4, 3, 1);
+  FaultyCluster d(273, 4, 3, 1);
   ASSERT_NO_FATAL_FAILURE(head_gives_its_vote_away(d));
   d.go(300);
   d.stop("core0");
@@ -410,7 +409,7 @@
   ASSERT_EQ(d.at("core1").view().head(), "core0");
   d.stop("core2");
   d.go(4000);
-  EXPECT_FALSE(d.at("core1").view().has("core2"));
+  EXPECT_FALSE(d.at("core1").view().has_member("core2"));
   EXPECT_TRUE(d.at("core1").view().has_voter("core0")) << "nobody takes the vote of the one that is gone";
 }
 
@@ -420,7 +419,7 @@
   Millis longest = 0;
   for (std::uint32_t seed = 1; seed <= 40 && !testing::Test::HasFailure(); ++seed) {
     SCOPED_TRACE(seed);
-    Days d(seed, 4, 3, 1);
+    FaultyCluster d(seed, 4, 3, 1);
     d.go(2500);
     d.busy = true;
     d.go(500);
@@ -449,7 +448,7 @@
 
 // It waits until as many know that it votes no more as can take the next loss.
 TEST(ReplicaFaults, WhoLeavesIsNotTheOnlyOneToKnowTheNewVoters) {
-  Days d(13581, 4, 3, 1);
+  FaultyCluster d(13581, 4, 3, 1);
   ASSERT_NO_FATAL_FAILURE(head_gives_its_vote_away(d));
   Replica& head = d.at("core0");
   EXPECT_FALSE(head.may_exit(d.now()));
@@ -462,12 +461,12 @@
 TEST(ReplicaFaults, ALossRightAfterADecidedViewDoesNotStopTheCore) {
   for (std::uint32_t seed = 1; seed <= 20 && !testing::Test::HasFailure(); ++seed) {
     SCOPED_TRACE(seed);
-    Days d(seed, 5, 3, 2);
+    FaultyCluster d(seed, 5, 3, 2);
     d.go(6000);
     std::string last = replication::host_of(d.newest().view().tail());
-    d.cut_off(last, true);
+    d.isolate(last, true);
     d.go(3000);
-    d.net.cuts.clear();
+    d.net.blocked_links.clear();
     auto number = d.newest().view().number;
     for (Millis end = d.now() + 3000;
          d.now() < end && d.newest().view().number == number && !testing::Test::HasFailure();)
@@ -485,16 +484,17 @@
 }
 
 TEST(ReplicaFaults, WithoutOneThatStandsByItGoesAtOnce) {
-  Days d(2, 3, 3, 1);
+  FaultyCluster d(2, 3, 3, 1);
   d.go(2000);
   d.busy = true;
   d.go(500);
   EXPECT_LE(end_in_order(d, "core0"), 100);
   d.go(400);
-  EXPECT_FALSE(d.at("core1").view().has("core0"));
+  EXPECT_FALSE(d.at("core1").view().has_member("core0"));
   d.start("core0");
   Millis since = d.now();
-  while (!(d.at("core1").view().has("core0") && d.at("core0").in_sync()) && d.now() < since + 5000) d.go(10);
+  while (!(d.at("core1").view().has_member("core0") && d.at("core0").in_sync()) && d.now() < since + 5000)
+    d.go(10);
   std::printf("back in step after %d ms\n", int(d.now() - since));
   d.go(4000);
   d.whole(3);
--- a/tests/replication/replica_test.cc
+++ b/tests/replication/replica_test.cc
@@ -15,15 +15,15 @@
 
 // Each key is a counter raised by compare-and-set: an acknowledged value may be followed only by a higher
 // one. Troubles come one after the other, each followed by the time to catch up.
-void storm(std::uint32_t seed, int n, std::size_t bear, int troubles) {
-  Fleet f(seed, n, 3, bear);
+void storm(std::uint32_t seed, int n, std::size_t tolerated_losses, int troubles) {
+  ReplicaCluster f(seed, n, 3, tolerated_losses);
   f.run(4000);
   std::map<std::string, Counter> counters;
   std::vector<std::string> down;
   auto heal = [&] {
-    f.net.cuts.clear();
+    f.net.blocked_links.clear();
     for (auto& h : down)
-      if (!f.up(h)) f.start(h);
+      if (!f.is_running(h)) f.start(h);
     for (auto& h : f.hosts)
       if (f.cores[h]) f.cores[h]->disk.full = false;
     down.clear();
@@ -32,14 +32,14 @@
   for (int round = 0; round < 50; ++round) {
     auto pick = [&] { return f.hosts[std::size_t(f.net.pick(int(f.hosts.size())))]; };
     std::string one = pick();
-    bool free = down.size() < bear && std::find(down.begin(), down.end(), one) == down.end();
+    bool free = down.size() < tolerated_losses && std::find(down.begin(), down.end(), one) == down.end();
     switch (f.net.pick(troubles)) {
       case 0:
       case 1:
         if (!down.empty()) heal();
         break;
       case 2:  // crash or an end in order, perhaps straight back
-        if (!free || !f.up(one)) break;
+        if (!free || !f.is_running(one)) break;
         if (f.net.chance(0.3)) {
           f.at(one).stop(f.net.now);
           f.run(f.net.pick(100));
@@ -53,11 +53,11 @@
         break;
       case 3:
         if (!free) break;
-        f.cut_off(one, f.net.chance(0.6));
+        f.isolate(one, f.net.chance(0.6));
         down.push_back(one);
         break;
       case 4:
-        f.net.loss = f.net.chance(0.3) ? 0.05 : 0;
+        f.net.loss_rate = f.net.chance(0.3) ? 0.05 : 0;
         break;
       case 5:  // all processes at once; the disks stay
         for (auto& h : f.hosts) f.stop(h);
@@ -65,21 +65,21 @@
         for (auto& h : f.hosts) f.start(h);
         break;
       case 6:
-        if (!free || !f.up(one)) break;
+        if (!free || !f.is_running(one)) break;
         f.cores[one]->disk.full = true;
         down.push_back(one);
         break;
       case 7: {  // power is lost everywhere, and some disks with it
         heal();
         for (auto& h : f.hosts) f.stop(h);
-        for (std::size_t i = 0; i < bear; ++i) f.cores[pick()]->disk = MemoryStorage();
+        for (std::size_t i = 0; i < tolerated_losses; ++i) f.cores[pick()]->disk = MemoryStorage();
         f.run(f.net.pick(2000));
         for (auto& h : f.hosts) f.start(h);
         f.run(6000);
         break;
       }
       case 8: {  // replaced by an empty one at another address
-        if (!down.empty() || !f.up(one)) break;
+        if (!down.empty() || !f.is_running(one)) break;
         f.stop(one);
         f.cores.erase(one);
         std::string fresh = "core" + std::to_string(100 + round);
@@ -94,7 +94,7 @@
     if (testing::Test::HasFatalFailure()) return;
     for (int k = 0; k < 4; ++k) {
       std::string host = pick();
-      if (!f.up(host)) continue;
+      if (!f.is_running(host)) continue;
       std::string key = "k" + std::to_string(f.net.pick(3));
       auto& c = counters[key];
       int from = c.known, to = ++c.tried + 1000 * round;
@@ -116,7 +116,7 @@
     }
     if (testing::Test::HasFatalFailure()) return;
   }
-  f.net.loss = 0;
+  f.net.loss_rate = 0;
   heal();
   f.run(6000);
   for (auto& [key, c] : counters) {
@@ -128,7 +128,7 @@
   }
   for (auto& host : f.hosts) {
     EXPECT_TRUE(f.at(host).holds_lease(f.net.now)) << host << " did not come back";
-    EXPECT_EQ(f.at(host).view().voters.size(), 2 * bear + 1);
+    EXPECT_EQ(f.at(host).view().voters.size(), 2 * tolerated_losses + 1);
     EXPECT_TRUE(f.at(host).view().has_voter(f.at(host).self())) << host << " does not vote";
   }
 }
@@ -156,7 +156,7 @@
 
 TEST(Replica, OneOfTwoChangesOnTheSameVersionWins) {
   for (std::uint32_t seed = 1; seed <= 20; ++seed) {
-    Fleet f(seed);
+    ReplicaCluster f(seed);
     f.run(1500);
     std::vector<int> statuses;
     for (int i = 0; i < 2; ++i)
@@ -170,9 +170,9 @@
 }
 
 TEST(Replica, UpdatesThatComeTogetherShareTheirSyncsAndFeeds) {
-  Fleet f(5, 5, 3, 2);
+  ReplicaCluster f(5, 5, 3, 2);
   f.run(6000);
-  for (auto& h : f.hosts) f.cores[h]->rises = 0;
+  for (auto& h : f.hosts) f.cores[h]->commit_count = 0;
   int acked = 0;
   const int offered = 400;
   for (int i = 0; i < offered; ++i)
@@ -182,31 +182,31 @@
   f.run(replication::kSubmitTimeoutMs + 50);
   EXPECT_EQ(acked, offered);
   for (auto& h : f.hosts) {
-    EXPECT_LE(f.cores[h]->rises, 20) << h;
+    EXPECT_LE(f.cores[h]->commit_count, 20) << h;
     EXPECT_EQ(f.at(h).state().rows_after(0).size(), std::size_t(offered));
   }
 }
 
 TEST(Replica, ACutOffTailIsSilentBeforeItIsPutOut) {
-  Fleet f(7);
+  ReplicaCluster f(7);
   f.run(1500);
   std::string tail = f.at("core0").view().tail();
-  f.cut_off(tail, true);
+  f.isolate(tail, true);
   f.run(4000);  // at every moment at most one core answers as the tail: checked in run()
   EXPECT_NE(f.at("core0").view().tail(), tail);
 }
 
 TEST(Replica, AMemberThatDoesNotHearIsPutOut) {
-  Fleet f(8);
+  ReplicaCluster f(8);
   f.run(1500);
-  f.cut_off("core1", false);  // it is heard all the while
+  f.isolate("core1", false);  // it is heard all the while
   f.run(4000);
-  EXPECT_FALSE(f.at("core0").view().has("core1"));
+  EXPECT_FALSE(f.at("core0").view().has_member("core1"));
   EXPECT_EQ(f.submit("core0", "k", "", "v"), 200);
 }
 
 TEST(Replica, ALostDiskTakesItsVoteWithIt) {
-  Fleet f(9);
+  ReplicaCluster f(9);
   f.run(1500);
   ASSERT_EQ(f.submit("core0", "k", "", "v"), 200);
   f.stop("core0", true);
@@ -221,7 +221,7 @@
 }
 
 TEST(Replica, AReplacedCoreNeitherVotesNorLeadsWhenItComesBack) {
-  Fleet f(10);
+  ReplicaCluster f(10);
   f.run(1500);
   ASSERT_EQ(f.submit("core1", "k", "", "v"), 200);
   f.stop("core0");
@@ -242,22 +242,22 @@
 }
 
 TEST(Replica, ACoreThatEndsInOrderIsNotWaitedFor) {
-  Fleet f(12);
+  ReplicaCluster f(12);
   f.run(1500);
   f.at("core0").stop(f.net.now);
   f.run(450);  // less than the silence of a core that is suspected
-  EXPECT_FALSE(f.at("core1").view().has("core0"));
+  EXPECT_FALSE(f.at("core1").view().has_member("core0"));
   EXPECT_TRUE(f.at("core1").is_leader(f.net.now));
 }
 
 TEST(Replica, ACoreWhoseDiskIsFullStepsOutAndComesBack) {
-  Fleet f(11);
+  ReplicaCluster f(11);
   f.run(1500);
   f.cores["core2"]->disk.full = true;
   EXPECT_EQ(f.submit("core0", "k", "", "v"), 200) << "the others go on at once";
   f.run(3000);
   EXPECT_TRUE(f.at("core2").disk_failed());
-  EXPECT_FALSE(f.at("core0").view().has("core2"));
+  EXPECT_FALSE(f.at("core0").view().has_member("core2"));
   EXPECT_EQ(f.submit("core0", "l", "", "v"), 200);
   f.cores["core2"]->disk.full = false;
   f.run(4000);
@@ -267,7 +267,7 @@
 
 // What a write that the disk refused would have stored is known to nobody once the disk is well again.
 TEST(Replica, AfterARefusedWriteTheDiskCountsAndNotTheMemory) {
-  Fleet f(4, 1, 1, 0);
+  ReplicaCluster f(4, 1, 1, 0);
   f.run(3000);
   auto& core = f.hosts[0];
   EXPECT_EQ(f.submit(core, "k", "", "kept"), 200);
@@ -280,10 +280,10 @@
 
 // A grant for a former view that comes late gives no place in the present one.
 TEST(Replica, ALeaseOfAFormerViewSeatsNobody) {
-  Fleet f(6);
+  ReplicaCluster f(6);
   f.run(4000);
   std::string one = f.hosts[0];
-  f.cut_off(one, true);
+  f.isolate(one, true);
   f.run(3000);
   Replica& node = f.at(one);
   ASSERT_FALSE(node.holds_lease(f.net.now));
--- a/tests/replication/simulated_network.h
+++ b/tests/replication/simulated_network.h
@@ -11,39 +11,39 @@
 
 namespace pebblespindle::test {
 
-class SimNet {
+class SimulatedNetwork {
  public:
-  explicit SimNet(std::uint32_t seed) : rng(seed) {}
+  explicit SimulatedNetwork(std::uint32_t seed) : rng(seed) {}
   Millis now = 1000;
   std::mt19937 rng;
-  std::set<std::pair<std::string, std::string>> cuts;  // one way
-  double loss = 0;
+  std::set<std::pair<std::string, std::string>> blocked_links;  // one way
+  double loss_rate = 0;
   std::function<void(const std::string& to, const std::string& from, const Json&)> deliver;
 
-  int pick(int n) { return int(rng() % std::uint32_t(n)); }
-  bool chance(double p) { return std::uniform_real_distribution<>(0, 1)(rng) < p; }
+  int pick(int count) { return int(rng() % std::uint32_t(count)); }
+  bool chance(double probability) { return std::uniform_real_distribution<>(0, 1)(rng) < probability; }
 
-  void send(const std::string& from, const std::string& to, const Json& m) {
-    if (cuts.count({from, to}) || chance(loss)) return;
+  void send(const std::string& from, const std::string& to, const Json& message) {
+    if (blocked_links.count({from, to}) || chance(loss_rate)) return;
     Millis at = std::max(now + 1 + pick(chance(0.02) ? 400 : 5), last_[{from, to}]);
     last_[{from, to}] = at;
-    queue_.emplace(at, Message{from, to, m});
+    queue_.emplace(at, Message{from, to, message});
   }
   // Lets one millisecond pass; true when a message arrived.
   bool step() {
     ++now;
     bool arrived = false;
     while (!queue_.empty() && queue_.begin()->first <= now) {
-      Message m = std::move(queue_.begin()->second);
+      Message message = std::move(queue_.begin()->second);
       queue_.erase(queue_.begin());
-      if (cuts.count({m.from, m.to})) continue;
+      if (blocked_links.count({message.from, message.to})) continue;
       arrived = true;
-      deliver(m.to, m.from, m.body);
+      deliver(message.to, message.from, message.body);
     }
     return arrived;
   }
   // A process ends: what was on its way to and from it is gone.
-  void forget(const std::string& node) {
+  void drop_messages_of(const std::string& node) {
     std::erase_if(queue_, [&](auto& e) { return e.second.from == node || e.second.to == node; });
   }
 
--- a/tests/replication/state_transfer_test.cc
+++ b/tests/replication/state_transfer_test.cc
@@ -10,8 +10,8 @@
 namespace {
 
 // A fleet that counts what is sent to each core of the state.
-struct Counted : Fleet {
-  using Fleet::Fleet;
+struct Counted : ReplicaCluster {
+  using ReplicaCluster::ReplicaCluster;
   std::map<std::string, std::size_t> bytes, messages;
   std::size_t longest = 0;
   std::function<bool(const std::string& to, const std::string& from, const Json&)> lost;
@@ -26,7 +26,7 @@
         longest = std::max(longest, n);
       }
       auto& c = cores[to];
-      if (c && c->node) receive_encoded(*c->node, net.now, from, m);
+      if (c && c->replica) receive_encoded(*c->replica, net.now, from, m);
     };
   }
   void fill(int rows, std::size_t size) {
@@ -41,7 +41,7 @@
     ASSERT_EQ(done, rows);
   }
   bool stands(const std::string& host) {
-    return up(host) && at(host).in_sync() && at(host).view().has(at(host).self());
+    return is_running(host) && at(host).in_sync() && at(host).view().has_member(at(host).self());
   }
 };
 
@@ -106,7 +106,7 @@
 // Seen to take part only when the state is whole; what is there after a break is not sent again.
 TEST(StateTransfer, AHalfTakenStateIsNeverUsedAndGoesOnAfterABreak) {
   Counted f(33, 4, 3, 1);
-  f.piece_bytes = 2000;
+  f.chunk_bytes = 2000;
   for (auto& h : f.hosts) f.stop(h, true);
   f.cores.clear();
   f.seeds = {"core0", "core1", "core2"};
@@ -116,8 +116,9 @@
   ASSERT_NO_FATAL_FAILURE(f.fill(800, 300));
   f.start("core3");
   int breaks = 0;
-  for (int i = 0; i < 4000 && !(f.at("core3").received_rows() > 200 * std::size_t(breaks + 1)); ++i) f.run(1);
-  const std::size_t before = f.at("core3").received_rows();
+  for (int i = 0; i < 4000 && !(f.at("core3").received_row_count() > 200 * std::size_t(breaks + 1)); ++i)
+    f.run(1);
+  const std::size_t before = f.at("core3").received_row_count();
   ASSERT_GT(before, 100u);
   ASSERT_LT(before, 700u);
   EXPECT_EQ(f.at("core3").state().size(), 0u) << "half a state is in use";
@@ -126,7 +127,7 @@
   f.stop(f.at("core0").view().tail());
   f.run(300);
   f.start("core3");
-  EXPECT_EQ(f.at("core3").received_rows(), before) << "what was taken is on the disk";
+  EXPECT_EQ(f.at("core3").received_row_count(), before) << "what was taken is on the disk";
   EXPECT_EQ(f.at("core3").state().size(), 0u);
   f.bytes.clear();
   f.run(6000);
@@ -198,7 +199,7 @@
 
 // A disk put back to an older copy: the next member has been sent more.
 TEST(StateTransfer, ADiskThatHasGoneBackDoesNotLead) {
-  Fleet f(36);
+  ReplicaCluster f(36);
   f.run(3000);
   ASSERT_EQ(f.submit("core0", "a", "", "1"), 200);
   MemoryStorage old = f.cores["core0"]->disk;
@@ -213,9 +214,9 @@
 }
 
 // A newcomer whose questions are answered by the test alone.
-struct Asked : Fleet {
+struct Asked : ReplicaCluster {
   Json question;
-  explicit Asked(std::uint32_t seed) : Fleet(seed) {
+  explicit Asked(std::uint32_t seed) : ReplicaCluster(seed) {
     run(3000);
     stop("core2", true);
     run(100);
@@ -247,9 +248,9 @@
 TEST(StateTransfer, AStateBegunAnewHoldsNothingOfTheOneBefore) {
   Asked f(42);
   f.piece(true, "of another", true);
-  ASSERT_EQ(f.newcomer().received_rows(), 1u);
+  ASSERT_EQ(f.newcomer().received_row_count(), 1u);
   f.piece(true, "a", true);
-  ASSERT_EQ(f.newcomer().received_rows(), 1u);
+  ASSERT_EQ(f.newcomer().received_row_count(), 1u);
   f.piece(false, "b", false, 2);
   EXPECT_EQ(f.newcomer().state().size(), 2u);
   EXPECT_EQ(f.newcomer().state().find("of another"), nullptr);
@@ -260,7 +261,7 @@
 TEST(StateTransfer, AStateThatLacksRowsIsDropped) {
   Asked f(39);
   f.piece(true, "a", true);
-  ASSERT_EQ(f.newcomer().received_rows(), 1u);
+  ASSERT_EQ(f.newcomer().received_row_count(), 1u);
   f.piece(false, "b", false, 3);
   EXPECT_EQ(f.newcomer().state().size(), 0u);
   EXPECT_FALSE(f.newcomer().is_receiving_state());
@@ -270,7 +271,7 @@
 // What a core asks is answered from where it stands only if that place is in the history of who answers.
 TEST(StateTransfer, AStageOfAnotherHistoryIsBegunAnew) {
   Asked f(40);
-  f.piece_bytes = 10;
+  f.chunk_bytes = 10;
   for (auto* h : {"core0", "core1"}) f.stop(h), f.start(h);
   f.run(5000);
   for (int i = 0; i < 5; ++i) ASSERT_EQ(f.submit("core0", "k" + std::to_string(i), "", "v"), 200);
@@ -301,7 +302,7 @@
 
 // An update says on what it follows. One that follows on another term's number is not taken.
 TEST(StateTransfer, AnUpdateOnAnotherTermsNumberIsNotTaken) {
-  Fleet f(41);
+  ReplicaCluster f(41);
   f.run(3000);
   ASSERT_EQ(f.submit("core0", "a", "", "1"), 200);
   auto view = f.at("core0").view();
@@ -322,8 +323,8 @@
 // that whoever was away is behind the trim. Nothing acknowledged is lost or comes back, and in the end all
 // hold the same.
 void mixed(std::uint32_t seed) {
-  Fleet f(seed, 4, 3, 1);
-  f.piece_bytes = 20 + std::size_t(f.net.pick(300));
+  ReplicaCluster f(seed, 4, 3, 1);
+  f.chunk_bytes = 20 + std::size_t(f.net.pick(300));
   f.run(1400);
   struct Key {
     std::string acked, last;
@@ -337,7 +338,7 @@
     std::string key = "k" + std::to_string(f.net.pick(25));
     Key& k = keys[key];
     auto& host = f.hosts[std::size_t(f.net.pick(4))];
-    if (!k.known || !f.up(host)) return;
+    if (!k.known || !f.is_running(host)) return;
     std::string value = f.net.chance(0.25) && !k.acked.empty()
                             ? ""
                             : std::to_string(++serial) + std::string(std::size_t(f.net.pick(60)), 'v');
@@ -349,9 +350,9 @@
   };
   for (int round = 0; round < 10; ++round) {
     if (f.net.now >= lost_until && !down.empty()) {
-      f.net.cuts.clear();
+      f.net.blocked_links.clear();
       for (auto& h : down)
-        if (!f.up(h)) f.start(h);
+        if (!f.is_running(h)) f.start(h);
       down.clear();
       lost_until = f.net.now + 4000;
     }
@@ -363,7 +364,7 @@
         lost_until = f.net.now + f.net.pick(2500);
         break;
       case 1:
-        f.cut_off(one, f.net.chance(0.5));
+        f.isolate(one, f.net.chance(0.5));
         down.push_back(one);
         lost_until = f.net.now + f.net.pick(2500);
         break;
@@ -381,15 +382,15 @@
       ASSERT_NO_FATAL_FAILURE(f.run(f.net.pick(100)));
       // What is gone is forgotten at once, by each core for itself.
       for (auto& h : f.hosts)
-        if (f.up(h) && f.net.chance(0.1)) {
+        if (f.is_running(h) && f.net.chance(0.1)) {
           f.at(h).compact(f.net.now, ~0ull);
           f.at(h).compact(f.net.now + replication::kCompactAfterMs, ~0ull);
         }
     }
   }
-  f.net.cuts.clear();
+  f.net.blocked_links.clear();
   for (auto& h : down)
-    if (!f.up(h)) f.start(h);
+    if (!f.is_running(h)) f.start(h);
   ASSERT_NO_FATAL_FAILURE(f.run(5000));
   auto live = [&](const std::string& host) {
     std::map<std::string, std::string> out;
--- a/tests/storage/stored_data_test.cc
+++ b/tests/storage/stored_data_test.cc
@@ -126,7 +126,7 @@
   EXPECT_EQ(node->self(), "10.3.0.4~2a8765a3");
   EXPECT_EQ(node->view().number, 2u);
   EXPECT_TRUE(node->is_receiving_state());
-  EXPECT_EQ(node->received_rows(), 5u);
+  EXPECT_EQ(node->received_row_count(), 5u);
   node->tick(1000);
   const auto asked = std::find_if(environment_.sent.begin(), environment_.sent.end(),
                                   [](const Json& message) { return message["t"] == "have"; });
