--- a/src/failover/database_reply.h
+++ b/src/failover/database_reply.h
@@ -1,4 +1,4 @@
-// How a database answered a statement of the controller's own.
+// The reply of a database to a statement that a controller sends during a failover.
 #pragma once
 #include <functional>
 #include <string>
@@ -11,21 +11,21 @@
 
 struct DatabaseReply {
   enum class Kind {
-    kRow,        // it answers; `info` is what it says of itself
-    kError,      // it answers with an error
-    kWrongNode,  // another database answers at the address: the one that was asked is no more
+    kRow,        // the database replied; `info` holds its role, term and position
+    kError,      // the database replied with an error; `error` holds it
+    kWrongNode,  // another database runs at the address: the process of the queried one has ended
     kRefused,    // the connection was refused or reset
-    kSilent,     // no answer in time
+    kSilent,     // no reply within the timeout
   };
   Kind kind = Kind::kSilent;
   sql_protocol::Info info{};
-  std::string error{};        // as the database says it
-  InstanceId answering_id{};  // with kWrongNode: of the database that answers there
+  std::string error{};        // the text that the database sent
+  InstanceId answering_id{};  // with kWrongNode: the database that runs at the address
 
   bool is_row() const { return kind == Kind::kRow; }
 };
 
-// Sends a database a statement; the callback is called once.
+// Sends a statement to a database. The callback is called exactly once, also when the query fails.
 using QueryDatabase = std::function<void(const Instance& to, const std::string& statement,
                                          std::function<void(DatabaseReply)> done)>;
 
--- a/src/failover/departed_tracker.cc
+++ b/src/failover/departed_tracker.cc
@@ -16,7 +16,8 @@
   liveness_.forget_all();
 }
 
-// One round: the departed are asked whether they run, then the primary where its log ends, then the replicas.
+// First asks the departed databases whether they still run. Once some have ended, asks the primary for the
+// end of its log, and in later rounds the replicas, until one of them has reached that position.
 void DepartedTracker::tick(const ServiceView& view, Instant now, Millis drain_ms) {
   if (view.departed.empty() || view.assignment.suspended) {
     watches_.erase(view.service);
@@ -36,11 +37,12 @@
   query_departed(view, watch, now);
 }
 
-// A former primary whose heir is registered, once another leads.
+// Forgets departed databases whose log is continued by a newly registered database at the same address. The
+// assigned primary is kept until another database has replaced it.
 void DepartedTracker::forget_continued(const ServiceView& view) {
   for (auto& departed : view.departed) {
-    const bool followed = !departed.heir.empty() && departed.instance.id != view.assignment.primary;
-    if (followed) forget_(departed.instance.id);
+    const bool continued = !departed.heir.empty() && departed.instance.id != view.assignment.primary;
+    if (continued) forget_(departed.instance.id);
   }
 }
 
--- a/src/failover/departed_tracker.h
+++ b/src/failover/departed_tracker.h
@@ -1,9 +1,9 @@
-// Watches the databases of one service that have left, until their logs are needed no more.
+// Tracks departed databases (those that are no longer registered) until their logs are no longer needed.
 //
-// One that has left may still receive, and count for what is acknowledged, until its process has ended. Then
-// what it had received is covered once a replica that is registered has all that the primary had at a later
-// moment: the database is forgotten. Until then it stays in the replicated state, and every failover minds
-// it.
+// Until its process has ended, a departed database may still receive commits and thereby cause them to be
+// acknowledged. After that, its log is no longer needed once a registered replica has everything that the
+// primary had at some moment after the process ended: then the departed database is removed from the
+// replicated state. Until then every failover of the service takes it into account.
 #pragma once
 #include <functional>
 #include <map>
@@ -19,20 +19,21 @@
 
   DepartedTracker(QueryDatabase query, Forget forget)
       : query_(std::move(query)), forget_(std::move(forget)) {}
-  // Looks at the service now and then; not while its primary is being replaced.
+  // Runs the next round of queries if it is due. Does nothing while the service's primary is being replaced.
   void tick(const ServiceView& view, Instant now, Millis drain_ms);
-  // Nobody is left to be watched.
+  // Forgets everything; called when no service has a departed database.
   void clear();
-  // Whether nothing runs under that ID any more, as far as is known here.
+  // Whether the process of the departed database is known to have ended.
   bool has_ended(const DepartedInstance& departed, Instant now, Millis drain_ms) const;
 
  private:
   struct Watch {
     Instant next_at = 0;
-    std::size_t awaited = 0;
-    std::uint64_t round = 0;
-    std::optional<Position> primary_position;  // at a moment after the processes had ended
-    std::vector<InstanceId> ended;             // at that moment
+    std::size_t awaited = 0;  // replies that are outstanding in this round
+    std::uint64_t round = 0;  // replies to earlier rounds are ignored
+    // Where the primary's log ended at some moment after all processes in `ended` had ended.
+    std::optional<Position> primary_position;
+    std::vector<InstanceId> ended;
   };
   void query_departed(const ServiceView& view, Watch& watch, Instant now);
   void query_primary(const ServiceView& view, Watch& watch);
--- a/src/failover/describe.h
+++ b/src/failover/describe.h
@@ -1,4 +1,4 @@
-// Replies and outcomes as the log shows them.
+// Formats replies of databases and outcomes of promote calls for log lines.
 #pragma once
 #include <map>
 #include <string>
@@ -8,7 +8,8 @@
 
 namespace pebblespindle::failover {
 
-// ID:role@position/term/held, or how it failed
+// "ID:role@position/term/held", or "ID:failure(error)" if the database did not reply with a row. `held` is
+// the term that the database is paused for.
 std::string describe(const InstanceId& id, const DatabaseReply& reply);
 std::string describe(const std::map<InstanceId, DatabaseReply>& replies);
 std::string describe(PromoteOutcome outcome);
--- a/src/failover/failover.cc
+++ b/src/failover/failover.cc
@@ -16,7 +16,7 @@
           [this](const InstanceId& id) { callbacks_.submit(forget_departed(id), [](const Status&) {}); }),
       releases_(callbacks_.query, [this](const std::string& service) { finish_release(service); }) {}
 
-// --- what is known
+// --- state
 
 const ClusterState& Failover::cluster() {
   cluster_.follow(state_);
@@ -37,7 +37,7 @@
                      [](auto& entry) { return entry.second.step != Step::kIdle; });
 }
 
-// --- the course of operations
+// --- running operations
 
 void Failover::on_heartbeat(Instant now, const Instance& instance) {
   now_ = now;
@@ -51,11 +51,11 @@
   now_ = now;
   cluster();
   if (const std::uint64_t token = callbacks_.fencing_token(); token != token_) {
-    token_ = token;  // the duty has been another's meanwhile
+    token_ = token;  // another controller may have held the duty since the last tick
     operations_.clear();
     releases_.clear();
   }
-  if (!callbacks_.is_leader()) return;  // with a change of view it comes back in a moment
+  if (!callbacks_.is_leader()) return;  // operations are kept: after a view change the duty returns shortly
   const auto assignments = cluster().primaries();
   std::set<std::string> departed_from;
   if (cluster().departed().empty()) departed_tracker_.clear();
@@ -72,7 +72,7 @@
   if (now_ >= operation.retry_at) consider_failover(service, assignment);
 }
 
-// What goes on outside of failovers: those paused are released, those that have left are watched.
+// The work outside of failovers: releases paused databases and tracks departed ones.
 void Failover::run_maintenance(const std::string& service, bool any_departed) {
   const PrimaryAssignment* assignment = cluster().primary_of(service);
   const bool releasing = assignment && !assignment->suspended && assignment->releasing;
@@ -142,8 +142,8 @@
   const Instance primary = *known;
   const auto& all = cluster().instances_of(service);
   const auto is_other = [&](auto* other) { return other->id != primary.id; };
-  // Where all others are leaving, one of them takes over from a dead primary all the same: it alone can hand
-  // its log on, while it runs.
+  // If all other databases are draining, one of them still replaces a dead primary: only while it runs can
+  // its log be passed on to a database that remains.
   if (std::none_of(all.begin(), all.end(), is_other)) return;
   const bool has_successor =
       std::any_of(all.begin(), all.end(), [&](auto* other) { return is_other(other) && !other->draining; });
@@ -157,8 +157,8 @@
   consider_other_leader(service, assignment);
 }
 
-// An earlier promote of the present primary that had no answer could bring it back after another has
-// followed.
+// False while an earlier promote call may still take effect: if it names the current primary, it could make
+// that database primary again after it has handed over.
 bool Failover::may_hand_over(const std::string& service) {
   const FailoverRecord* record = cluster().failover_of(service);
   if (!record || record->calls.empty()) return true;
@@ -168,18 +168,19 @@
   return pending_calls(view, environment_of(view), operation).empty();
 }
 
-// True when nothing else is to be considered: it has left.
+// Returns true if the primary has departed, so that no other reason for a failover has to be considered.
 bool Failover::consider_departed_primary(const std::string& service, const PrimaryAssignment& assignment) {
   if (cluster().instance(assignment.primary)) return false;
   const auto& all = cluster().instances_of(service);
   const bool has_successor =
       std::any_of(all.begin(), all.end(), [](auto* other) { return !other->draining; });
-  // One that has told of its end and still runs tells what it has committed.
+  // A primary that has announced its shutdown but still runs can report what it has committed, so the
+  // failover is planned.
   auto departed = cluster().departed().find(assignment.primary);
-  const bool runs = departed != cluster().departed().end() &&
-                    !departed_tracker_.has_ended(departed->second, now_, drain_ms_);
-  if (runs && !may_hand_over(service)) return true;
-  if (!all.empty() && (has_successor || !runs)) begin(service, runs, "the primary has left");
+  const bool still_runs = departed != cluster().departed().end() &&
+                          !departed_tracker_.has_ended(departed->second, now_, drain_ms_);
+  if (still_runs && !may_hand_over(service)) return true;
+  if (!all.empty() && (has_successor || !still_runs)) begin(service, still_runs, "the primary has left");
   return true;
 }
 
@@ -201,7 +202,8 @@
   suspicions_.on_query_ended(primary);
   const bool answers = reply.kind == DatabaseReply::Kind::kRow || reply.kind == DatabaseReply::Kind::kError;
   if (answers) return suspicions_.on_query_answered(now_, primary);
-  // Silence counts only while nodes of two zones still miss every answer: a link may be at fault.
+  // Silence towards this controller may be due to a faulty link, so it counts only while nodes of two zones
+  // miss the database's replies as well.
   const bool silent = reply.kind == DatabaseReply::Kind::kSilent;
   if (silent && suspicions_.zones_missing_replies(now_, primary) < 2) return;
   suspicions_.clear(primary);
@@ -210,12 +212,13 @@
     begin(service, false, silent ? "the primary is silent" : "the primary refuses connections");
 }
 
-// A database that says it leads beside the assigned primary was promoted by a call whose outcome nobody
-// learnt: the assigned one refuses every write by now.
+// A database that reports itself as primary without being the assigned one was promoted by a call whose
+// outcome no controller learned. The assigned primary refuses all writes by then.
 void Failover::consider_other_leader(const std::string& service, const PrimaryAssignment& assignment) {
   const auto& all = cluster().instances_of(service);
-  auto other = std::find_if(all.begin(), all.end(),
-                            [&](auto* each) { return each->primary && each->id != assignment.primary; });
+  auto other = std::find_if(all.begin(), all.end(), [&](auto* instance) {
+    return instance->primary && instance->id != assignment.primary;
+  });
   if (other == all.end()) return;
   Instant& asked_at = other_leader_queried_at_[service];
   if (asked_at != 0 && now_ < asked_at + kOtherLeaderQueryIntervalMs) return;
@@ -230,7 +233,7 @@
   const PrimaryAssignment* current = cluster().primary_of(service);
   if (!current || current->suspended || current->primary == other || !callbacks_.is_leader()) return;
   const bool leads = reply.kind == DatabaseReply::Kind::kRow && reply.info.primary;
-  // The term of the first primary is not known; it is that of the first log.
+  // The assignment of a service's first primary has no term (0); logs begin with term 1.
   if (leads && reply.info.term > std::max<std::uint64_t>(current->term, 1))
     begin(service, false, "another database leads a higher term");
 }
--- a/src/failover/failover.h
+++ b/src/failover/failover.h
@@ -1,11 +1,12 @@
-// The failover duty: replaces the primary of a service that is dead, leaving or slow.
+// Replaces the primary of a service when it is dead, shutting down or slow. One controller at a time holds
+// this duty.
 //
-// This class decides whether a failover is due and joins the parts to the controller: the steps of a failover
-// (step_machine.h), the watch over databases that have left (departed_settlement.h), and the release of those
-// that were paused (release.h). What decides stands in the replicated state, so another controller that takes
-// the duty over goes on where this one stopped.
+// The Failover class decides whether a failover is due and connects the parts to the controller: the steps of
+// a failover (step_machine.h), the tracking of departed databases (departed_tracker.h), and the release of
+// paused databases (release.h). All decisions rest on the replicated state, so a controller that takes over
+// the duty continues where the previous one stopped.
 //
-// No I/O of its own; all calls come from one event loop, callbacks included.
+// It does no I/O of its own. All calls, including callbacks, come from one event loop.
 #pragma once
 #include <functional>
 #include <map>
@@ -21,29 +22,33 @@
 namespace pebblespindle::failover {
 
 struct FailoverCallbacks {
-  // Whether this controller holds the duty; asked right before each step that needs it.
+  // Whether this controller holds the failover duty; called right before each step that needs it.
   std::function<bool()> is_leader;
-  // Rises whenever the duty goes to another; 0: not this controller's.
+  // The fencing token of the duty, which increases whenever the duty moves to another controller; 0 if this
+  // controller doesn't hold it.
   std::function<std::uint64_t()> fencing_token;
   QueryDatabase query;
-  // Called once, when the platform has answered or never will.
+  // Asks the platform to promote a database. The callback is called once, when the platform has answered or
+  // the call has expired.
   std::function<void(const std::string& service, const InstanceId&, std::function<void(PromoteOutcome)>)>
       promote;
   std::function<void(Json command, replication::SubmitCallback)> submit;
-  std::function<bool(SequenceNumber sequence)> acknowledged_by_all_nodes;  // that have a live lease
-  std::function<std::size_t()> node_count;                                 // with a live lease
+  // Both count only nodes with a live lease.
+  std::function<bool(SequenceNumber sequence)> acknowledged_by_all_nodes;
+  std::function<std::size_t()> node_count;
   std::function<void(const std::string& event)> log_event;
 };
 
 class Failover {
  public:
-  // state outlives the failover. drain_ms: how long a database serves on after it has announced its end.
+  // state must outlive this object. drain_ms: how long a database keeps serving after it has announced its
+  // shutdown.
   Failover(const StateTable& state, FailoverCallbacks callbacks, Millis drain_ms);
 
   void tick(Instant now);
   bool is_under_way() const;
   Suspicions& suspicions() { return suspicions_; }
-  // A database has told of itself.
+  // A database has sent a heartbeat.
   void on_heartbeat(Instant now, const Instance& instance);
 
  private:
@@ -60,7 +65,7 @@
   void finish_release(const std::string& service);
   void run_maintenance(const std::string& service, bool any_departed);
 
-  // Whether a failover is due.
+  // Each begins a failover if it finds one due.
   void consider_failover(const std::string& service, const PrimaryAssignment& assignment);
   bool consider_departed_primary(const std::string& service, const PrimaryAssignment& assignment);
   void consider_other_leader(const std::string& service, const PrimaryAssignment& assignment);
@@ -78,10 +83,10 @@
   Suspicions suspicions_;
   DepartedTracker departed_tracker_;
   Releases releases_;
-  Instant now_ = 0;  // of the last call
+  Instant now_ = 0;  // time of the last tick() or on_heartbeat()
   std::uint64_t token_ = 0;
   std::map<std::string, Operation> operations_;             // by service
-  std::map<std::string, Instant> last_slow_hand_over_;      // by service, the last time
+  std::map<std::string, Instant> last_slow_hand_over_;      // by service
   std::map<std::string, Instant> other_leader_queried_at_;  // by service
 };
 
--- a/src/failover/log_holders.cc
+++ b/src/failover/log_holders.cc
@@ -9,21 +9,22 @@
 
 using Kind = LogHolder::Kind;
 
-// More at one address, one after the other, than any run of restarts makes
+// Restarts at one address that are followed; more than happen in practice, and a bound on the search
 constexpr int kMaxReplacements = 8;
 
 struct Replacement {
-  InstanceId id;                    // who answers at the address
-  bool of_another_service = false;  // it is none of this service's databases
+  InstanceId id;                    // the database that runs at the address
+  bool of_another_service = false;  // that database does not belong to this service
 };
 
-// Who answers at the address of a database now; none where nobody else was met there.
+// The database that now runs at the address of the given one; nullopt if no other was found there.
 std::optional<Replacement> replacement_of(const Operation& operation, const InstanceId& id) {
   InstanceId current = id;
   for (int hop = 0; hop < kMaxReplacements; ++hop) {
     const InstanceId& next = operation.liveness.of(current).replaced_by;
     if (next.empty()) break;
-    // It was asked by its own ID and by this service's name: the name is what it does not know.
+    // The query named this database's own ID and this service, yet the database rejected it as addressed to
+    // another: so it belongs to another service.
     if (next == current) return Replacement{current, true};
     current = next;
   }
@@ -32,10 +33,10 @@
 }
 
 bool continues_log(const Instance& former) {
-  return !former.draining;  // one that was leaving takes its log along
+  return !former.draining;  // a database that shuts down in an orderly way doesn't come back with its log
 }
 
-// A database at another's address that has not registered itself yet.
+// The database that has replaced `former` at its address, if it has not registered itself yet.
 std::optional<LogHolder> unregistered_replacement(const ServiceView& view, const Operation& operation,
                                                   const Instance& former) {
   const auto replacement = replacement_of(operation, former.id);
@@ -49,9 +50,9 @@
 }
 
 enum class Absence {
-  kAwaited,    // it may answer later, and may hold more
-  kContinued,  // the log is another member's
-  kTakenAlong,
+  kMayReturn,  // it may reply later, and may hold commits that no other log has
+  kContinued,  // another database at the same address continues its log
+  kEnded,      // its process has ended, and no database is known to continue its log
 };
 
 Absence absence_of(const ServiceView& view, const Environment& environment, const Operation& operation,
@@ -60,14 +61,15 @@
   if (holder.kind == Kind::kDeparted) {
     const DepartedInstance* departed = view.find_departed(holder.instance.id);
     return has_departed_process_ended(*departed, liveness, environment.now, environment.drain_ms)
-               ? Absence::kTakenAlong
-               : Absence::kAwaited;
+               ? Absence::kEnded
+               : Absence::kMayReturn;
   }
   const auto replacement = replacement_of(operation, holder.instance.id);
-  if (!replacement) return Absence::kAwaited;
-  if (holder.kind == Kind::kUnregistered) return Absence::kContinued;  // whoever replaced it is asked itself
+  if (!replacement) return Absence::kMayReturn;
+  // The database that replaced an unregistered one is a log holder itself.
+  if (holder.kind == Kind::kUnregistered) return Absence::kContinued;
   const bool continued = !replacement->of_another_service && continues_log(holder.instance);
-  return continued ? Absence::kContinued : Absence::kTakenAlong;
+  return continued ? Absence::kContinued : Absence::kEnded;
 }
 
 }  // namespace
@@ -85,9 +87,10 @@
                                 Instant now, Millis drain_ms) {
   if (!departed.heir.empty() || liveness.has_ended()) return true;
   if (!liveness.silent_since) return false;
-  // One that was draining ends as it leaves; one that was not serves on for a while, and may be out of reach.
-  const Millis patience = kDepartedSilenceMs + (departed.instance.draining ? 0 : drain_ms);
-  return now >= *liveness.silent_since + patience;
+  // A database that was draining ends when it departs. One that was not draining keeps running for up to
+  // drain_ms, and may be silent only because it can't be reached.
+  const Millis required_silence = kDepartedSilenceMs + (departed.instance.draining ? 0 : drain_ms);
+  return now >= *liveness.silent_since + required_silence;
 }
 
 std::vector<LogHolder> log_holders(const ServiceView& view, const Operation& operation) {
@@ -99,8 +102,8 @@
     holders.push_back({departed.instance, Kind::kDeparted});
     holders.back().instance.draining = true;
   }
-  const std::size_t known = holders.size();
-  for (std::size_t i = 0; i < known; ++i) {
+  const std::size_t known_count = holders.size();
+  for (std::size_t i = 0; i < known_count; ++i) {
     auto replacement = unregistered_replacement(view, operation, holders[i].instance);
     if (replacement) holders.push_back(*replacement);
   }
@@ -116,8 +119,8 @@
     auto reply = operation.replies.find(id);
     if (reply == operation.replies.end() || reply->second.kind != DatabaseReply::Kind::kRow) {
       const Absence absence = absence_of(view, environment, operation, holder);
-      if (absence == Absence::kAwaited && holder.required) survey.unreachable.push_back(id);
-      if (absence == Absence::kTakenAlong) ended.push_back(id);
+      if (absence == Absence::kMayReturn && holder.required) survey.unreachable.push_back(id);
+      if (absence == Absence::kEnded) ended.push_back(id);
       continue;
     }
     survey.reachable.push_back(holder);
@@ -154,7 +157,7 @@
     if (operation.refused_calls.count(call.number) > 0) continue;
     auto seen = operation.call_seen_at.find(call.number);
     if (seen != operation.call_seen_at.end() && environment.now >= seen->second + kPromoteExpiryMs) continue;
-    // A database that starts anew has another ID: a call that names the former one has no effect.
+    // A database gets a new ID when it restarts, so a call that names the former ID has no effect.
     const DepartedInstance* departed = view.find_departed(call.successor);
     const bool may_run = view.find_registered(call.successor) || (departed && departed->heir.empty());
     if (!may_run || operation.liveness.of(call.successor).has_ended()) continue;
--- a/src/failover/pause.cc
+++ b/src/failover/pause.cc
@@ -34,12 +34,12 @@
   const LogSurvey logs = survey_logs(view_, environment_, operation_);
   const Instance* former = view_.find_registered(view_.assignment.primary);
   const bool primary_leads = !operation_.primary_committed.none();
-  const bool primary_stays = primary_leads && former && !former->draining;
-  if (!logs.unreachable.empty() && primary_stays) return promotion_.abandon();
+  const bool primary_remains = primary_leads && former && !former->draining;
+  if (!logs.unreachable.empty() && primary_remains) return promotion_.abandon();
   if (wait_for_missing_logs(logs)) return;
   if (*logs.newest_position < operation_.primary_committed) {
-    // Something was committed with the help of a database that is not known here: the others receive it
-    // first.
+    // A database that is not among the log holders has received commits that the primary acknowledged. The
+    // replicas have to receive these commits from the primary before one of them can be promoted.
     log("waits: replicas at " + logs.newest_position->text() + ", primary at " +
         operation_.primary_committed.text());
     if (++operation_.replicas_behind_attempts > kMaxReplicasBehindAttempts)
@@ -48,18 +48,21 @@
   }
   const LogHolder& successor = choose_successor(logs);
   if (successor.kind == LogHolder::Kind::kUnregistered) {
-    log("waits: the furthest database has not registered itself, id=" + successor.instance.id.value);
+    log("waits: the database with the newest log has not registered itself, id=" +
+        successor.instance.id.value);
     return retry_after(kFailoverRetryMs);
   }
-  const bool another_stays = std::any_of(logs.reachable.begin(), logs.reachable.end(),
-                                         [](auto& replica) { return !replica.instance.draining; });
-  // One that stays will have caught up in a moment: the replicas receive once more.
-  if (successor.instance.draining && primary_leads && another_stays) return resume_replicas(logs.reachable);
+  const bool another_remains = std::any_of(logs.reachable.begin(), logs.reachable.end(),
+                                           [](auto& replica) { return !replica.instance.draining; });
+  // A successor that shuts down soon is a poor choice while the primary still leads: the replicas receive
+  // again for a moment, so that one that stays catches up.
+  if (successor.instance.draining && primary_leads && another_remains) return resume_replicas(logs.reachable);
   operation_.covered_by_successor = ended_departed(view_, environment_, operation_);
   promotion_.record(successor.instance.id);
 }
 
-// One that answered without running the statement is asked again: the others stay paused.
+// Sends PAUSE again to the databases that replied with an error; the others stay paused meanwhile. Returns
+// whether any replies are outstanding.
 bool Pause::retry_failed_pauses() {
   if (++operation_.pause_retries > kMaxPauseRetries) return false;
   for (auto& holder : log_holders(view_, operation_)) {
@@ -71,7 +74,8 @@
   return !operation_.awaited.empty();
 }
 
-// Which commits are in a log out of reach is not known: nothing is promoted over it.
+// Schedules another attempt and returns true while the logs are not known well enough for a promote: an
+// unreachable log may hold acknowledged commits.
 bool Pause::wait_for_missing_logs(const LogSurvey& logs) {
   const auto wait_for = [this](const std::string& what) {
     log("waits: " + what);
@@ -92,10 +96,10 @@
     return false;
   }
   operation_.primary_log_needed = true;
-  return wait_for("the log of one that has left is needed, or that of the former primary, id=" + id);
+  return wait_for("the log of a departed database or of the former primary is needed, id=" + id);
 }
 
-// A primary that has crashed comes back with its log; one that has left in order does not.
+// A primary that has crashed comes back with its log; one that has shut down in an orderly way does not.
 Millis Pause::max_log_wait() const {
   const DepartedInstance* departed = view_.find_departed(view_.assignment.primary);
   const bool left_in_order =
@@ -105,14 +109,16 @@
   return left_in_order ? kReplacementLogWaitMs : kUncoveredLogWaitMs;
 }
 
-// Nodes pass no commit on as kept meanwhile, so to let the others receive lets nothing be acknowledged.
+// Replicating again is safe: while the service is suspended, nodes report no commit to clients as kept, so
+// nothing new is acknowledged.
 void Pause::resume_replicas(const std::vector<LogHolder>& replicas) {
   enter(Step::kWaitingForNodes);
   operation_.retry_at = environment_.now + 4 * kPlatformTimeoutMs;
   query_all(replicas, "CONTINUE");
 }
 
-// Where the others do not take it from there, the former primary follows as well, and is the furthest.
+// Used when the replicas do not catch up with a primary that leads: as a replica, it takes part in the choice
+// of the successor with the newest log.
 void Pause::step_down(const InstanceId& id) {
   std::vector<LogHolder> leading;
   for (auto& holder : log_holders(view_, operation_))
@@ -124,8 +130,8 @@
   query_all(leading, "STEPDOWN " + std::to_string(operation_.term + 1));
 }
 
-// Of those that have received the most, one that stays before one that leaves, one that is registered before
-// one that is not, then the least behind.
+// Among the databases with the newest log position, prefers a registered one, then one that is not draining,
+// then the one with the smallest replication lag.
 const LogHolder& Pause::choose_successor(const LogSurvey& logs) const {
   const auto rank = [&](const LogHolder& holder) {
     const auto& info = operation_.replies.at(holder.instance.id).info;
--- a/src/failover/pause.h
+++ b/src/failover/pause.h
@@ -1,5 +1,5 @@
-// Keeps all that receive from receiving, and chooses among them, once every log that may hold an acknowledged
-// commit is known.
+// The pause phase of a failover: stops replication on all replicas, and chooses the successor among them once
+// every log that may hold an acknowledged commit is known.
 #pragma once
 #include "failover/promotion.h"
 
@@ -11,7 +11,7 @@
 
   void begin();
   void on_replies();
-  // Makes a database that leads follow.
+  // Makes a database that leads become a replica.
   void step_down(const InstanceId& id);
 
  private:
--- a/src/failover/process_liveness.h
+++ b/src/failover/process_liveness.h
@@ -1,4 +1,5 @@
-// What asking a database has shown of whether the process with that ID has ended.
+// Evidence from replies to queries of whether the process of a database has ended. Each process has its own
+// ID: a database gets a new one when it restarts.
 #pragma once
 #include <map>
 #include <optional>
@@ -9,13 +10,13 @@
 namespace pebblespindle::failover {
 
 struct ProcessLiveness {
-  int refusals = 0;                     // in a row; a single one may be a connection's reset
-  std::optional<Instant> silent_since;  // it has not answered since then
-  InstanceId replaced_by;               // another process answers at its address
+  int refusals = 0;                     // consecutive; a single one may be a connection reset
+  std::optional<Instant> silent_since;  // unset once the database replies
+  InstanceId replaced_by;  // the ID of another process that runs at its address; empty: none seen
   bool operator==(const ProcessLiveness&) const = default;
 
   bool refuses() const;
-  // Nothing runs under that ID any more.
+  // Whether the process with this ID is known to have ended.
   bool has_ended() const { return refuses() || !replaced_by.empty(); }
 };
 
--- a/src/failover/promotion.cc
+++ b/src/failover/promotion.cc
@@ -40,10 +40,10 @@
 void Promotion::on_answered(const PromoteAnswered& answered) {
   log("promote answered: call=" + std::to_string(answered.call_number) +
       " outcome=" + describe(answered.outcome));
-  const bool took_no_effect = answered.outcome == PromoteOutcome::kRefused ||
-                              answered.outcome == PromoteOutcome::kThrottled ||
-                              answered.outcome == PromoteOutcome::kNotSent;
-  if (took_no_effect) operation_.refused_calls.insert(answered.call_number);
+  const bool had_no_effect = answered.outcome == PromoteOutcome::kRefused ||
+                             answered.outcome == PromoteOutcome::kThrottled ||
+                             answered.outcome == PromoteOutcome::kNotSent;
+  if (had_no_effect) operation_.refused_calls.insert(answered.call_number);
   if (answered.outcome == PromoteOutcome::kAccepted) operation_.accepted_calls.insert(answered.call_number);
   const bool is_awaited = operation_.call_number == answered.call_number &&
                           (operation_.step == Step::kPromoting || operation_.step == Step::kAwaitingPrimary);
@@ -52,9 +52,9 @@
     if (operation_.step == Step::kPromoting) enter(Step::kAwaitingPrimary);
     return;
   }
-  const bool soon =
+  const bool retry_soon =
       answered.outcome == PromoteOutcome::kThrottled || answered.outcome == PromoteOutcome::kUnknown;
-  retry_after(soon ? kPromoteRetryMs : kFailoverRetryMs);
+  retry_after(retry_soon ? kPromoteRetryMs : kFailoverRetryMs);
   operation_.retry_promote = answered.outcome == PromoteOutcome::kThrottled;
 }
 
@@ -74,9 +74,9 @@
 void Promotion::on_confirmed() {
   const DatabaseReply& reply = operation_.replies[operation_.successor];
   const auto calls = pending_calls();
-  const bool of_successor_only = std::all_of(
+  const bool only_calls_of_successor = std::all_of(
       calls.begin(), calls.end(), [&](auto& call) { return call.successor == operation_.successor; });
-  if (reply.is_row() && reply.info.primary && of_successor_only)
+  if (reply.is_row() && reply.info.primary && only_calls_of_successor)
     return announce(operation_.successor, reply.info.term);
   operation_.liveness.on_reply(environment_.now, operation_.successor, reply);
   retry_after(kFailoverRetryMs);
@@ -88,7 +88,7 @@
          Step::kAnnouncing);
 }
 
-// The primary is there after all: the replicas go on receiving and it leads again.
+// The former primary answers after all: it stays primary, and the replicas are resumed.
 void Promotion::abandon() {
   log("abandoned: the primary answers, primary=" + view_.assignment.primary.value);
   PrimaryAssignment next = view_.assignment;
--- a/src/failover/release.cc
+++ b/src/failover/release.cc
@@ -24,7 +24,8 @@
   for (auto& database : remaining) release_instance(view.service, database, view.assignment.term, round);
 }
 
-// A PAUSE that went unanswered may arrive after the first CONTINUE.
+// A PAUSE whose reply timed out may reach its database after the first CONTINUE, so CONTINUE is sent again
+// once no such statement can be on its way.
 void Releases::begin_second_pass(Release& release, Instant now) {
   release.second_pass = true;
   release.attempts = 0;
@@ -39,11 +40,12 @@
     on_released(service, id, round, reply);
   };
   if (!instance.primary) return query_(instance, "CONTINUE", done);
-  // What it last said of itself may be old: it may lead still, or be paused by now.
+  // The instance was registered as primary, which may be outdated: it may still lead, or be paused by now. So
+  // it gets STEPDOWN and then CONTINUE.
   query_(instance, "STEPDOWN " + std::to_string(term),
          [this, instance, service, round, done](const DatabaseReply& reply) {
            auto it = releases_.find(service);
-           if (it == releases_.end() || it->second.round != round) return;  // another failover
+           if (it == releases_.end() || it->second.round != round) return;  // a later round or failover
            if (reply.kind == DatabaseReply::Kind::kRow)
              query_(instance, "CONTINUE", done);
            else
@@ -57,11 +59,11 @@
   if (it == releases_.end() || it->second.round != round) return;
   Release& release = it->second;
   --release.awaited;
-  // A process that is gone holds nothing; one that comes back has started anew.
+  // A process that has ended needs no release, and a restarted one is not paused.
   int& refusals = release.refusals[id];
   refusals = reply.kind == DatabaseReply::Kind::kRefused ? refusals + 1 : 0;
-  const bool gone = refusals >= kRefusalsUntilEnded || reply.kind == DatabaseReply::Kind::kWrongNode;
-  if (reply.kind == DatabaseReply::Kind::kRow || gone) release.done.insert(id);
+  const bool has_ended = refusals >= kRefusalsUntilEnded || reply.kind == DatabaseReply::Kind::kWrongNode;
+  if (reply.kind == DatabaseReply::Kind::kRow || has_ended) release.done.insert(id);
 }
 
 }  // namespace pebblespindle::failover
--- a/src/failover/release.h
+++ b/src/failover/release.h
@@ -1,6 +1,6 @@
-// After a failover, or one abandoned: whoever is paused receives again, and a former primary learns that it
-// is one. The state says so until all have answered, so that the next controller goes on where this one
-// stops.
+// Releases the databases of a service after a failover has ended or was abandoned: paused replicas resume
+// replication, and a former primary steps down. The replicated state marks the service as releasing until all
+// databases have replied, so that another controller that takes over the failover duty continues.
 #pragma once
 #include <functional>
 #include <map>
@@ -12,7 +12,7 @@
 
 class Releases {
  public:
-  // All have answered: the assignment may say so.
+  // Called when all databases have replied: the service's assignment is then no longer releasing.
   using Finish = std::function<void(const std::string& service)>;
 
   Releases(QueryDatabase query, Finish finish) : query_(std::move(query)), finish_(std::move(finish)) {}
@@ -22,12 +22,12 @@
 
  private:
   struct Release {
-    std::size_t awaited = 0, attempts = 0;
-    std::uint64_t round = 0;
+    std::size_t awaited = 0, attempts = 0;  // awaited: replies that are outstanding
+    std::uint64_t round = 0;                // replies to earlier rounds are ignored
     Instant retry_at = 0;
     bool second_pass = false;
     std::set<InstanceId> done;
-    std::map<InstanceId, int> refusals;  // in a row
+    std::map<InstanceId, int> refusals;  // consecutive
   };
   void begin_second_pass(Release& release, Instant now);
   void release_instance(const std::string& service, const Instance& instance, std::uint64_t term,
--- a/src/failover/service_view.cc
+++ b/src/failover/service_view.cc
@@ -5,13 +5,14 @@
 namespace pebblespindle::failover {
 
 const Instance* ServiceView::find_registered(const InstanceId& id) const {
-  auto it = std::find_if(registered.begin(), registered.end(), [&](auto& each) { return each.id == id; });
+  auto it =
+      std::find_if(registered.begin(), registered.end(), [&](auto& instance) { return instance.id == id; });
   return it == registered.end() ? nullptr : &*it;
 }
 
 const DepartedInstance* ServiceView::find_departed(const InstanceId& id) const {
   auto it =
-      std::find_if(departed.begin(), departed.end(), [&](auto& each) { return each.instance.id == id; });
+      std::find_if(departed.begin(), departed.end(), [&](auto& entry) { return entry.instance.id == id; });
   return it == departed.end() ? nullptr : &*it;
 }
 
--- a/src/failover/step_machine.cc
+++ b/src/failover/step_machine.cc
@@ -26,8 +26,8 @@
       return;
     case Step::kWaitingForNodes: {
       if (environment_.now < operation_.retry_at) return;
-      // Whoever gives leases had stored the suspension when it was committed: older leases have ended by
-      // then.
+      // The controllers that grant leases had stored the suspension when it was committed, so every lease
+      // that was granted without it has ended after this time.
       const bool leases_ended =
           environment_.now >= operation_.suspended_at + kNodeLeaseMs + 2 * kClockDriftMarginMs;
       if (!leases_ended && !environment_.nodes_acknowledged) return;
@@ -46,7 +46,7 @@
     case Step::kPausing:
     case Step::kRecording:
     case Step::kAnnouncing:
-      // An answer went missing.
+      // A reply or callback is overdue.
       if (environment_.now > operation_.entered_at + 4 * kPlatformTimeoutMs) retry_after(kFailoverRetryMs);
       return;
   }
@@ -112,8 +112,9 @@
   on(Tick{});
 }
 
-// Another controller has begun it, or this one before it was started anew: the record says how far it came.
-// Once this controller's token is written, all that the record rests on is committed.
+// Continues a failover that another controller, or this one before a restart, has begun. The failover record
+// shows how far it came. Once this controller's token is committed to the record, every change on which the
+// record is based is committed as well.
 void StepMachine::take_over() {
   std::string calls;
   for (auto& call : pending_calls())
--- a/src/failover/step_machine.h
+++ b/src/failover/step_machine.h
@@ -1,18 +1,20 @@
-// The steps of one failover, as a function of what is known and what happens: no I/O, no clock, no state of
-// its own. The exhaustive check (tests/failover) drives it as the controller does.
+// The steps of one failover as a function of the replicated state, the controller's memory and an event. It
+// does no I/O, reads no clock and keeps no state of its own, so that the model check in tests/failover can
+// drive it as the controller does.
 //
-// Suspend the service in the replicated state; wait until every node with a lease has acknowledged that, or
-// its lease has ended, so that nobody is told of a commit any more; survey the databases (survey.h); pause
-// all that receive (pause.h); write the promote into the record, call the platform, learn that the successor
-// leads, announce it (promotion.h).
+// The steps:
+// 1. Suspend the service in the replicated state, and wait until every node has acknowledged that or its
+//    lease has ended. From then on nodes report no commit to clients.
+// 2. Query all databases (survey.h).
+// 3. Pause replication on all replicas and choose the successor (pause.h).
+// 4. Write the promote call to the failover record, call the platform, wait until the successor confirms
+//    that it leads, and announce it as primary (promotion.h).
 //
 // Invariants:
-// - Nothing is promoted while a log that may hold an acknowledged commit is unknown (log_holders.h), and
-// nothing
-//   below what a living primary had committed.
-// - A call stands in the record before it is made. While one may still take effect, nobody but its successor
-// is
-//   promoted, and nobody but its successor is announced.
+// - No database is promoted while a log that may hold an acknowledged commit is unknown (log_holders.h), and
+//   none whose log ends before what a living primary had committed.
+// - A promote call is in the record before it is made. While a call may still take effect, only the database
+//   that it names may be promoted or announced.
 #pragma once
 #include "failover/survey.h"
 
@@ -20,12 +22,12 @@
 
 class StepMachine : private StepPhase {
  public:
-  // view and around are as of this event; operation is what this controller remembers.
+  // view and environment: as of the event to be handled. operation: this controller's memory of the failover.
   StepMachine(const ServiceView& view, const Environment& environment, Operation& operation);
   StepMachine(const StepMachine&) = delete;
   StepMachine& operator=(const StepMachine&) = delete;
   ~StepMachine() = default;
-  // What is to be done, in this order.
+  // Returns what the controller has to do, in this order.
   std::vector<Action> handle(const Event& event);
 
  private:
--- a/src/failover/step_phase.cc
+++ b/src/failover/step_phase.cc
@@ -42,7 +42,8 @@
   request(Submit{encode(update), operation_.round});
 }
 
-// What was learnt of calls and of their successors outlasts the failover, as long as they are on record.
+// Clears the operation, except for what is known of the promote calls that are still in the failover record
+// and of the databases that they name.
 void StepPhase::reset() {
   Operation next;
   next.round = operation_.round + 1;
@@ -69,7 +70,8 @@
   return failover::pending_calls(view_, environment_, operation_);
 }
 
-// A build that kept no record has begun this failover, and may have called the platform.
+// True if a version of the controller that kept no failover records began this failover: it may have made
+// promote calls that are not in the record.
 bool StepPhase::has_unknown_calls() const {
   return view_.record.id.empty() || view_.record.earlier_calls_unknown;
 }
@@ -78,8 +80,8 @@
   return std::to_string(environment_.token) + "." + std::to_string(view_.state_sequence);
 }
 
-// Whether another may have led a higher term for a while: replicas that have heard of it take nothing more
-// from the former primary.
+// Whether another database may have led a higher term for a while. Replicas that have learned of that term no
+// longer replicate from the former primary.
 bool StepPhase::may_be_superseded() const {
   const auto may_have_led = [this](const PromoteCall& call) {
     return call.successor != view_.assignment.primary && operation_.refused_calls.count(call.number) == 0;
@@ -88,7 +90,8 @@
          std::any_of(view_.record.calls.begin(), view_.record.calls.end(), may_have_led);
 }
 
-// Calls without an answer stay on record: they have no effect while their successor leads, but may later on.
+// The record to keep after the failover: calls without an answer stay in it. They have no effect while the
+// database that they name leads, but may take effect after it has been replaced.
 FailoverRecord StepPhase::record_of_unanswered_calls() const {
   FailoverRecord record = view_.record;
   record.calls = pending_calls();
--- a/src/failover/step_phase.h
+++ b/src/failover/step_phase.h
@@ -1,5 +1,5 @@
-// What the phases of a failover share: what they know, what they remember, and how they ask for something to
-// be done.
+// Base of the phases of a failover (survey, pause, promotion): the context of the current event, and helpers
+// to change the step and to request actions.
 #pragma once
 #include <optional>
 
@@ -8,7 +8,7 @@
 
 namespace pebblespindle::failover {
 
-// Everything is as of one event; actions collects what is to be done, in this order.
+// The context of one event. The phases append to `actions` what the controller has to do, in this order.
 struct StepContext {
   const ServiceView& view;
   const Environment& environment;
@@ -22,20 +22,21 @@
 
   void request(Action action);
   void enter(Step step);
-  // Another attempt, from the survey on.
+  // Starts another attempt, beginning with the survey, after a delay.
   void retry_after(Millis pause);
   void query_all(const std::vector<LogHolder>& holders, const std::string& statement);
   void submit(const PrimaryAssignment& assignment, const FailoverRecord& record, Step step);
   void reset();
   void log(const std::string& text);
-  // Registered, or departed and not continued by another.
+  // The instance if it is registered, or has departed and no other database continues its log.
   std::optional<Instance> find_instance(const InstanceId& id) const;
   std::vector<PromoteCall> pending_calls() const;
   bool has_unknown_calls() const;
   bool may_be_superseded() const;
   std::string new_record_id() const;
   FailoverRecord record_of_unanswered_calls() const;
-  // True when somebody was met that was not asked: a database under a new ID.
+  // Records what the replies show of liveness and positions. Returns true if they reveal a log holder that
+  // was not queried: a database that has restarted under a new ID.
   bool record_replies();
   std::uint64_t newest_term() const;
 
--- a/src/failover/survey.cc
+++ b/src/failover/survey.cc
@@ -7,15 +7,16 @@
 
 namespace pebblespindle::failover {
 
-// Learns the newest term, and whether somebody leads already.
 void Survey::begin() {
   enter(Step::kSurveying);
-  operation_.primary_committed =
-      {};  // what a primary told that has died since leaves out what others have received
+  // A position from an earlier attempt is outdated if the primary has died since: replicas may have received
+  // more.
+  operation_.primary_committed = {};
   const InstanceId& primary = view_.assignment.primary;
-  // A primary that is said to be alive is waited for: what it has committed must not be left behind. One that
-  // may be dead is asked as well, but not waited for: what it has acknowledged is on the replicas, unless one
-  // of them has taken it along.
+  // If the primary is believed to be alive (a planned failover), its reply is waited for, because the
+  // successor needs everything that it has committed. If it may be dead, it is queried but not waited for:
+  // whatever it has acknowledged is on a replica, except if that replica has ended since
+  // (primary_log_needed).
   const bool wait_for_primary = view_.assignment.planned && pending_calls().empty() && !has_unknown_calls() &&
                                 operation_.unknown_position_attempts < kMaxUnknownPositionAttempts;
   std::vector<LogHolder> waited_for;
@@ -32,7 +33,7 @@
   if (not_waited_for) request(Query{*not_waited_for, "INFO", operation_.round});
 }
 
-// Whether a database, leading that term, was promoted since the assignment was written.
+// Whether the database, which leads `term`, was promoted after the current assignment was written.
 bool Survey::was_promoted(const InstanceId& id, std::uint64_t term) const {
   if (view_.assignment.term > 0) return term > view_.assignment.term;
   const bool continues_primary =
@@ -42,7 +43,8 @@
                      [&](auto& call) { return call.successor == id && term > call.term; });
 }
 
-// Whoever still leads a term that has been followed by another has missed the promote, not won it.
+// A database that leads an older term than the newest one known has been replaced without noticing, and does
+// not count as the leader.
 std::optional<Survey::Leader> Survey::find_leader() const {
   Leader leader;
   std::uint64_t newest = view_.assignment.term;
@@ -73,19 +75,19 @@
   if (!calls.empty())
     return primary_alive && only_calls_of_leader ? promotion_.abandon() : retry_call(calls.back());
   operation_.term = newest_term();
-  if (operation_.term == 0) return retry_after(kFailoverRetryMs);  // nobody told a term
+  if (operation_.term == 0) return retry_after(kFailoverRetryMs);  // no reply named a term
   if (former_primary_leads && may_be_superseded()) return pause_.step_down(leader->id);
   if (former_primary_leads && !primary_alive) return accept_leader(*leader);
   if (!primary_alive && view_.assignment.planned && !has_unknown_calls() &&
       ++operation_.unknown_position_attempts < kMaxUnknownPositionAttempts)
     return retry_after(kFailoverRetryMs);
-  // One that has announced its end is replaced, whatever the failover was begun for.
-  const bool has_left = !view_.find_registered(view_.assignment.primary);
-  if (primary_alive && !view_.assignment.planned && !has_left) return promotion_.abandon();
-  const auto former = operation_.replies.find(view_.assignment.primary);
-  const bool answers = former != operation_.replies.end() && former->second.is_row();
+  // A primary that has announced its shutdown is replaced even if the failover began for another reason.
+  const bool has_departed = !view_.find_registered(view_.assignment.primary);
+  if (primary_alive && !view_.assignment.planned && !has_departed) return promotion_.abandon();
+  const auto former_reply = operation_.replies.find(view_.assignment.primary);
+  const bool answers = former_reply != operation_.replies.end() && former_reply->second.is_row();
   operation_.primary_follows = answers && !primary_alive;
-  if (primary_alive) operation_.primary_committed = former->second.info.received;
+  if (primary_alive) operation_.primary_committed = former_reply->second.info.received;
   pause_.begin();
 }
 
@@ -95,7 +97,7 @@
   retry_after(kFailoverRetryMs);
 }
 
-// What an earlier call has begun is brought to its end: nobody but its successor is promoted.
+// While an earlier promote call may still take effect, only the database that it names may be promoted.
 void Survey::retry_call(const PromoteCall& call) {
   const auto reply = operation_.replies.find(call.successor);
   if (reply != operation_.replies.end() && reply->second.is_row()) {
--- a/src/failover/survey.h
+++ b/src/failover/survey.h
@@ -1,5 +1,5 @@
-// Asks every database of a service for its role, term and position: whether somebody leads already, and what
-// an earlier call to the platform may still do.
+// The survey phase of a failover: asks every database of the service for its role, term and log position, to
+// learn whether one of them leads already and whether an earlier promote call may still take effect.
 #pragma once
 #include "failover/pause.h"
 #include "failover/promotion.h"
@@ -15,11 +15,11 @@
   void on_replies();
 
  private:
-  // The database that leads the newest term of those that answered.
+  // The database that leads the newest term among those that replied.
   struct Leader {
     InstanceId id;
     std::uint64_t term = 0;
-    bool is_former_primary = false;  // it, or its heir, leads on and was not promoted since
+    bool is_former_primary = false;  // the former primary, or its restarted process, has led all along
   };
 
   std::optional<Leader> find_leader() const;
--- a/src/failover/suspicions.cc
+++ b/src/failover/suspicions.cc
@@ -43,11 +43,12 @@
   Reports& reports = reports_[id];
   std::erase_if(reports.missed_replies,
                 [&](auto& entry) { return entry.second.at < now - kSuspicionWindowMs; });
-  // One missed answer of one node says little; of several nodes, as much as several of one.
-  const bool many = reports.missed_replies.size() >= kMinNodesWithSingleMiss;
+  // A single missed reply of one node is weak evidence. Single misses of several nodes count as much as
+  // repeated misses of one.
+  const bool count_single_misses = reports.missed_replies.size() >= kMinNodesWithSingleMiss;
   std::set<std::string> zones;
   for (auto& [node, missed] : reports.missed_replies)
-    if (many || !missed.single_miss) zones.insert(missed.zone);
+    if (count_single_misses || !missed.single_miss) zones.insert(missed.zone);
   return zones.size();
 }
 
@@ -63,7 +64,7 @@
     return false;
   }
   if (!reports.agreed_slow_since) reports.agreed_slow_since = now;
-  return now >= *reports.agreed_slow_since + kSlowAgreementMs;  // a stall passes by itself
+  return now >= *reports.agreed_slow_since + kSlowAgreementMs;  // a shorter stall passes by itself
 }
 
 }  // namespace pebblespindle::failover
