--- a/src/config/applied_changes.cc
+++ b/src/config/applied_changes.cc
@@ -22,7 +22,7 @@
   AppliedChange change;
   const char* position = row->value.data();
   const char* const end = position + row->value.size();
-  for (auto* number : {&change.index, &change.base, &change.revision}) {
+  for (auto* number : {&change.index, &change.base_revision, &change.revision}) {
     const auto read = std::from_chars(position, end, *number);
     if (read.ec != std::errc() || read.ptr == end || *read.ptr != ' ') return std::nullopt;
     position = read.ptr + 1;
@@ -32,7 +32,7 @@
 }
 
 std::string encode_change(const AppliedChange& change) {
-  return std::to_string(change.index) + " " + std::to_string(change.base) + " " +
+  return std::to_string(change.index) + " " + std::to_string(change.base_revision) + " " +
          std::to_string(change.revision) + " " + change.digest;
 }
 
@@ -44,7 +44,7 @@
 
 std::string former_mark_of(const ConfigurationChange& change) {
   const std::string text = change.kind == ChangeKind::kPatch
-                               ? "patch " + std::to_string(change.base) + " " + change.body
+                               ? "patch " + std::to_string(change.base_revision) + " " + change.body
                                : change.body;
   std::uint64_t hash = kFnvOffset;
   for (unsigned char byte : text) hash = (hash ^ byte) * kFnvPrime;
@@ -86,7 +86,7 @@
 
 std::string digest_of(const ConfigurationChange& change) {
   const std::string head =
-      (change.kind == ChangeKind::kPatch ? "PATCH " : "PUT ") + std::to_string(change.base) + "\n";
+      (change.kind == ChangeKind::kPatch ? "PATCH " : "PUT ") + std::to_string(change.base_revision) + "\n";
   XXH3_state_t state;
   XXH3_128bits_reset(&state);
   XXH3_128bits_update(&state, head.data(), head.size());
@@ -128,9 +128,9 @@
     const std::uint64_t middle = (low + high) / 2;
     const auto applied = applied_change_at(state, middle);
     if (!applied) return ChangeOutcome::kUnknown;  // a ring with a gap tells nothing
-    if (applied->base == change.base)
+    if (applied->base_revision == change.base_revision)
       return applied->digest == digest_of(change) ? ChangeOutcome::kApplied : ChangeOutcome::kNotApplied;
-    if (applied->base < change.base)
+    if (applied->base_revision < change.base_revision)
       low = middle + 1;
     else
       high = middle;
@@ -144,7 +144,7 @@
                                      std::uint64_t revision) {
   const auto newest = newest_applied_change(state);
   const std::uint64_t index = newest ? newest->index + 1 : 0;
-  const std::string value = encode_change({index, change.base, revision, digest_of(change)});
+  const std::string value = encode_change({index, change.base_revision, revision, digest_of(change)});
   std::vector<Row> rows{{key_at(index), value, 0, false}};
   // The ring begins to forget: what is older than it goes first.
   if (index >= kAppliedChangesKept && state.find(kAppliedChangesPrefix))
--- a/src/config/applied_changes.h
+++ b/src/config/applied_changes.h
@@ -21,7 +21,7 @@
 // A change as the operator sent it.
 struct ConfigurationChange {
   ChangeKind kind = ChangeKind::kPut;
-  std::uint64_t base = 0;  // the version that it builds on
+  std::uint64_t base_revision = 0;  // the version that it builds on
   std::string body;
 };
 // Tells one change from every other.
@@ -30,7 +30,7 @@
 // One entry of the record.
 struct AppliedChange {
   std::uint64_t index = 0;  // counts the changes from 0
-  std::uint64_t base = 0, revision = 0;
+  std::uint64_t base_revision = 0, revision = 0;
   std::string digest;
   bool operator==(const AppliedChange&) const = default;
 };
--- a/src/config/cluster_state.cc
+++ b/src/config/cluster_state.cc
@@ -67,21 +67,21 @@
   }
 }
 
-std::vector<Row> ClusterState::changes_to(SequenceNumber sequence, std::vector<Row> whole_state) const {
+std::vector<Row> ClusterState::diff_to_snapshot(SequenceNumber sequence, std::vector<Row> snapshot) const {
   std::set<std::string> named;
-  for (auto& row : whole_state) named.insert(row.key);
+  for (auto& row : snapshot) named.insert(row.key);
   const auto delete_unless_named = [&](std::string key) {
-    if (!named.count(key)) whole_state.push_back({std::move(key), {}, sequence, true});
+    if (!named.count(key)) snapshot.push_back({std::move(key), {}, sequence, true});
   };
   for (auto& [key, route] : routes_) delete_unless_named(kRoutePrefix + key);
   for (auto& [name, service] : configuration_.services) delete_unless_named(kServicePrefix + name);
   for (auto& [name, tenant] : configuration_.tenants) delete_unless_named(kTenantPrefix + name);
   for (auto& [id, instance] : instances_) delete_unless_named(instance_key(id));
   for (auto& [service, assignment] : primaries_) delete_unless_named(primary_key(service));
-  return whole_state;
+  return snapshot;
 }
 
-bool ClusterState::follow(const StateTable& table) {
+bool ClusterState::update_from(const StateTable& table) {
   if (table.change_count() == table_changes_ && table.generation() == table_generation_) return false;
   // The table's content was replaced, and its numbers may stand for other rows; or it no longer names all
   // that was deleted.
--- a/src/config/cluster_state.h
+++ b/src/config/cluster_state.h
@@ -17,9 +17,9 @@
   // Applies rows up to a sequence number; older ones are ignored. True when something changed.
   bool apply(SequenceNumber sequence, const std::vector<Row>& rows);
   // A whole state as the changes that lead to it from here: what it does not name is deleted.
-  std::vector<Row> changes_to(SequenceNumber sequence, std::vector<Row> whole_state) const;
+  std::vector<Row> diff_to_snapshot(SequenceNumber sequence, std::vector<Row> snapshot) const;
   // Brings this up to what a table holds. False, and cheap, while the table has not changed.
-  bool follow(const StateTable& table);
+  bool update_from(const StateTable& table);
 
   SequenceNumber sequence() const { return sequence_; }
   bool has_configuration() const { return configuration_.revision > 0; }
@@ -33,7 +33,7 @@
   const std::map<std::string, PrimaryAssignment>& primaries() const { return primaries_; }  // by service
   const PrimaryAssignment* primary_of(const std::string& service) const;  // null before the first primary
   // Controllers alone: what failovers remember.
-  const std::map<InstanceId, DepartedInstance>& departed() const { return departed_; }
+  const std::map<InstanceId, DepartedInstance>& departed_instances() const { return departed_; }
   const FailoverRecord* failover_of(const std::string& service) const;  // null when there is no record
 
  private:
--- a/src/config/command_validation.cc
+++ b/src/config/command_validation.cc
@@ -42,7 +42,7 @@
       return {};
     case ChangeOutcome::kUnknown:
       return refuse(
-          Status::unavailable("version " + std::to_string(change.base) + " is no longer on record"));
+          Status::unavailable("version " + std::to_string(change.base_revision) + " is no longer on record"));
     case ChangeOutcome::kNotApplied:
       break;
   }
@@ -72,10 +72,10 @@
                                const std::string& body, std::uint64_t current) {
   auto next = read_configuration(body);
   if (!next) return refuse(next.status());
-  if (next->revision <= change.base)
-    return refuse(Status::invalid_argument("Revision is not above " + std::to_string(change.base)));
+  if (next->revision <= change.base_revision)
+    return refuse(Status::invalid_argument("Revision is not above " + std::to_string(change.base_revision)));
   // What it builds on may be on its way.
-  if (change.base > current) return refuse(Status::unavailable(version_conflict(current).message()));
+  if (change.base_revision > current) return refuse(Status::unavailable(version_conflict(current).message()));
   return {Status::ok(), rows_of_change(state, change, body, *next)};
 }
 
@@ -83,16 +83,16 @@
   const Row* stored = state.find(kConfigurationKey);
   if (stored && stored->value == command.body) return {};
   const std::uint64_t current = current_version(state);
-  const ConfigurationChange change{ChangeKind::kPut, command.base, command.body};
-  if (command.base < current) return validate_old_base(state, change, current);
+  const ConfigurationChange change{ChangeKind::kPut, command.base_revision, command.body};
+  if (command.base_revision < current) return validate_old_base(state, change, current);
   return validate_next(state, change, command.body, current);
 }
 
 ValidationResult validate(const StateTable& state, const PatchConfiguration& command) {
   const std::uint64_t current = current_version(state);
-  const ConfigurationChange change{ChangeKind::kPatch, command.base, command.body};
-  if (command.base < current) return validate_old_base(state, change, current);
-  if (command.base > current) {
+  const ConfigurationChange change{ChangeKind::kPatch, command.base_revision, command.body};
+  if (command.base_revision < current) return validate_old_base(state, change, current);
+  if (command.base_revision > current) {
     if (Status valid = check_patch(command.body); !valid.is_ok()) return refuse(std::move(valid));
     return refuse(Status::unavailable(version_conflict(current).message()));
   }
@@ -127,8 +127,8 @@
                              std::vector<Row>& rows) {
   state.for_each(kDepartedPrefix, [&](const Row& stored) {
     auto departed = decode_departed({stored.key.substr(kDepartedPrefix.size())}, stored.value);
-    if (!departed || departed->heir != former.id || next.service != former.service) return;
-    departed->heir = next.id;
+    if (!departed || departed->replacement != former.id || next.service != former.service) return;
+    departed->replacement = next.id;
     rows.push_back(row(stored.key, encode_departed(*departed)));
   });
 }
@@ -155,7 +155,8 @@
   if (stored && stored->deleted) return {};  // it has left; a late call changes nothing
   if (stored) {
     auto known = decode_instance(command.id, stored->value);
-    if (known && (next->calls <= known->calls || next->same_but_calls(*known))) return {};
+    if (known && (next->call_count <= known->call_count || next->equals_ignoring_call_count(*known)))
+      return {};
   }
   ValidationResult result{Status::ok(), {row(key, command.value)}};
   if (!stored)
--- a/src/config/commands.cc
+++ b/src/config/commands.cc
@@ -7,11 +7,11 @@
 namespace {
 
 Json encode_fields(const PutConfiguration& command) {
-  return {{"op", "config"}, {"base", command.base}, {"body", command.body}};
+  return {{"op", "config"}, {"base", command.base_revision}, {"body", command.body}};
 }
 
 Json encode_fields(const PatchConfiguration& command) {
-  return {{"op", "patch"}, {"base", command.base}, {"body", command.body}};
+  return {{"op", "patch"}, {"base", command.base_revision}, {"body", command.body}};
 }
 
 Json encode_fields(const PutInstance& command) {
@@ -61,12 +61,12 @@
   return Status::invalid_argument("unknown update");
 }
 
-Json put_configuration(std::uint64_t base, const std::string& body) {
-  return encode(PutConfiguration{base, body});
+Json put_configuration(std::uint64_t base_revision, const std::string& body) {
+  return encode(PutConfiguration{base_revision, body});
 }
 
-Json patch_configuration(std::uint64_t base, const std::string& body) {
-  return encode(PatchConfiguration{base, body});
+Json patch_configuration(std::uint64_t base_revision, const std::string& body) {
+  return encode(PatchConfiguration{base_revision, body});
 }
 
 Json put_instance(const Instance& instance) {
--- a/src/config/commands.h
+++ b/src/config/commands.h
@@ -13,11 +13,11 @@
 namespace pebblespindle {
 
 struct PutConfiguration {
-  std::uint64_t base = 0;  // the version that it builds on; 0 for the first
-  std::string body;        // as the operator sent it
+  std::uint64_t base_revision = 0;  // the version that it builds on; 0 for the first
+  std::string body;                 // as the operator sent it
 };
 struct PatchConfiguration {
-  std::uint64_t base = 0;
+  std::uint64_t base_revision = 0;
   std::string body;
 };
 struct PutInstance {
@@ -57,8 +57,8 @@
 Result<StateCommand> decode_command(const Json& encoded);
 
 // The encoded forms, for callers that submit.
-Json put_configuration(std::uint64_t base, const std::string& body);
-Json patch_configuration(std::uint64_t base, const std::string& body);
+Json put_configuration(std::uint64_t base_revision, const std::string& body);
+Json patch_configuration(std::uint64_t base_revision, const std::string& body);
 Json put_instance(const Instance& instance);
 Json remove_instance(const InstanceId& id);
 Json retire_instance(const InstanceId& id);
--- a/src/config/config_delivery.cc
+++ b/src/config/config_delivery.cc
@@ -19,7 +19,7 @@
   std::size_t size = 0;
   for (auto& row : rows) {
     if (!is_for_nodes(row) || (whole_state && row.deleted)) continue;
-    if (size >= kFeedChunkBytes) {
+    if (size >= kUpdateChunkBytes) {
       chunks.emplace_back();
       size = 0;
     }
@@ -31,7 +31,8 @@
 
 }  // namespace
 
-std::vector<std::string> encode_feed(SequenceNumber from, SequenceNumber to, const std::vector<Row>& rows) {
+std::vector<std::string> encode_update_lines(SequenceNumber from, SequenceNumber to,
+                                             const std::vector<Row>& rows) {
   const bool whole_state = from == 0;
   const auto chunks = divide(rows, whole_state);
   std::vector<std::string> lines;
@@ -51,10 +52,10 @@
 }
 
 void ConfigDelivery::send_pending(const StateTable& state, SequenceNumber committed, bool all_committed,
-                                  SharedFeed& shared, const Send& send) {
+                                  SharedUpdate& shared, const Send& send) {
   for (;;) {
     // The next chunk goes only as the node acknowledges: leases are not held up behind it.
-    while (feeding_ && next_ < feeding_->size() && next_ < acknowledged_ + kFeedChunksAhead)
+    while (feeding_ && next_ < feeding_->size() && next_ < acknowledged_ + kMaxUnacknowledgedChunks)
       send((*feeding_)[next_++]);
     if (feeding_ && feeding_->size() > 1 && acknowledged_ < feeding_->size()) return;
     feeding_ = nullptr;
@@ -62,7 +63,7 @@
     if (!started_ || !all_committed || sent_ >= committed) return;
     if (sent_ < state.compacted_to()) sent_ = 0;  // deletions are no longer known: it takes the whole state
     if (shared.from != sent_ || shared.to != committed || shared.generation != state.generation()) {
-      auto lines = encode_feed(sent_, committed, state.rows_after(sent_));
+      auto lines = encode_update_lines(sent_, committed, state.rows_after(sent_));
       shared = {sent_, committed, state.generation(),
                 std::make_shared<const std::vector<std::string>>(std::move(lines))};
     }
--- a/src/config/config_delivery.h
+++ b/src/config/config_delivery.h
@@ -12,14 +12,15 @@
 
 // The lines that bring a node from one sequence number to another: the rows that it needs, in chunks of
 // bounded size that count together, with the last. From 0 they are the whole state, and say so.
-std::vector<std::string> encode_feed(SequenceNumber from, SequenceNumber to, const std::vector<Row>& rows);
+std::vector<std::string> encode_update_lines(SequenceNumber from, SequenceNumber to,
+                                             const std::vector<Row>& rows);
 
 class ConfigDelivery {
  public:
   using Lines = std::shared_ptr<const std::vector<std::string>>;
   using Send = std::function<void(const std::string& line)>;
   // What the last node was fed. Most stand at the same number, so what one is fed, the next is fed as well.
-  struct SharedFeed {
+  struct SharedUpdate {
     SequenceNumber from = 0, to = 0;
     std::uint64_t generation = 0;  // of the state table
     Lines lines;
@@ -31,8 +32,8 @@
   void on_chunk_acknowledged() { ++acknowledged_; }
   // Sends what can go now. The state holds nothing but what is committed when all_committed says so; else
   // nothing new is begun.
-  void send_pending(const StateTable& state, SequenceNumber committed, bool all_committed, SharedFeed& shared,
-                    const Send& send);
+  void send_pending(const StateTable& state, SequenceNumber committed, bool all_committed,
+                    SharedUpdate& shared, const Send& send);
 
  private:
   SequenceNumber sent_ = 0;  // up to which the node has been sent the state
--- a/src/config/configuration.h
+++ b/src/config/configuration.h
@@ -42,8 +42,8 @@
 
 // What a client may send, and how long it may take or rest.
 struct Limits {
-  Millis transaction_idle_ms = 3000, header_ms = 3000, idle_ms = 15000;
-  std::size_t header_bytes = 16384, body_bytes = 1 << 20;
+  Millis transaction_idle_timeout_ms = 3000, header_timeout_ms = 3000, idle_timeout_ms = 15000;
+  std::size_t max_header_bytes = 16384, max_body_bytes = 1 << 20;
 };
 
 struct Configuration {
--- a/src/config/configuration_reader.cc
+++ b/src/config/configuration_reader.cc
@@ -177,11 +177,12 @@
 }
 
 void read_limits(const Json& fields, Limits& limits) {
-  limits.transaction_idle_ms = millis(fields, "TransactionIdleMs", limits.transaction_idle_ms);
-  limits.header_ms = millis(fields, "HeaderTimeoutMs", limits.header_ms);
-  limits.idle_ms = millis(fields, "IdleTimeoutMs", limits.idle_ms);
-  limits.header_bytes = fields.value("MaxHeaderBytes", limits.header_bytes);
-  limits.body_bytes = fields.value("MaxBodyBytes", limits.body_bytes);
+  limits.transaction_idle_timeout_ms =
+      millis(fields, "TransactionIdleMs", limits.transaction_idle_timeout_ms);
+  limits.header_timeout_ms = millis(fields, "HeaderTimeoutMs", limits.header_timeout_ms);
+  limits.idle_timeout_ms = millis(fields, "IdleTimeoutMs", limits.idle_timeout_ms);
+  limits.max_header_bytes = fields.value("MaxHeaderBytes", limits.max_header_bytes);
+  limits.max_body_bytes = fields.value("MaxBodyBytes", limits.max_body_bytes);
 }
 
 using OrderedJson = nlohmann::ordered_json;  // keeps the order in which the operator sent the items
--- a/src/config/failover_record.cc
+++ b/src/config/failover_record.cc
@@ -7,7 +7,7 @@
 namespace {
 
 Json encode_call(const PromoteCall& call) {
-  return {{"n", call.number}, {"to", call.successor.value}, {"k", call.token}, {"t", call.term}};
+  return {{"n", call.number}, {"to", call.successor.value}, {"k", call.fencing_token}, {"t", call.term}};
 }
 
 PromoteCall decode_call(const Json& fields) {
@@ -28,7 +28,7 @@
 std::string encode_failover(const FailoverRecord& record) {
   Json calls = Json::array();
   for (auto& call : record.calls) calls.push_back(encode_call(call));
-  Json fields{{"id", record.id}, {"why", record.reason}, {"k", record.token}, {"calls", calls}};
+  Json fields{{"id", record.id}, {"why", record.reason}, {"k", record.fencing_token}, {"calls", calls}};
   if (record.earlier_calls_unknown) fields["u"] = true;
   return fields.dump();
 }
@@ -49,7 +49,7 @@
 }
 
 std::string encode_departed(const DepartedInstance& departed) {
-  return Json{{"i", encode_instance(departed.instance)}, {"heir", departed.heir.value}}.dump();
+  return Json{{"i", encode_instance(departed.instance)}, {"heir", departed.replacement.value}}.dump();
 }
 
 std::optional<DepartedInstance> decode_departed(const InstanceId& id, const std::string& value) {
--- a/src/config/failover_record.h
+++ b/src/config/failover_record.h
@@ -19,15 +19,15 @@
 struct PromoteCall {
   std::uint64_t number = 0;  // tells this call from all others of the service
   InstanceId successor;
-  std::uint64_t token = 0;  // the fencing token that it carries
-  std::uint64_t term = 0;   // the newest term known before it: whoever it promotes leads a higher one
+  std::uint64_t fencing_token = 0;  // the fencing token that it carries
+  std::uint64_t term = 0;           // the newest term known before it: whoever it promotes leads a higher one
   bool operator==(const PromoteCall&) const = default;
 };
 
 struct FailoverRecord {
   std::string id;  // names the failover in the logs of all controllers; empty: there is no record
   std::string reason;
-  std::uint64_t token = 0;             // of the holder that wrote it
+  std::uint64_t fencing_token = 0;     // of the holder that wrote it
   std::vector<PromoteCall> calls;      // those that may still take effect
   bool earlier_calls_unknown = false;  // a build that kept no records has begun this failover
   bool operator==(const FailoverRecord&) const = default;
@@ -38,7 +38,7 @@
   Instance instance;
   // The database that registered itself at the same address after this one: it goes on with the log. Empty:
   // this one announced its end, serves on for a while, and then takes its log along.
-  InstanceId heir;
+  InstanceId replacement;
 };
 
 std::string failover_key(const std::string& service);
--- a/src/config/instance.cc
+++ b/src/config/instance.cc
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-bool Instance::same_but_calls(const Instance& other) const {
+bool Instance::equals_ignoring_call_count(const Instance& other) const {
   return service == other.service && zone == other.zone && address == other.address &&
          capacity == other.capacity && draining == other.draining && primary == other.primary;
 }
@@ -46,7 +46,7 @@
   instance.capacity = fields.contains("Capacity") ? std::max(1, int(fields["Capacity"].get<double>())) : 1;
   instance.draining = fields["State"] == "draining";
   instance.primary = fields.value("DatabaseRole", "") == "primary";
-  instance.calls = fields["CallCount"];
+  instance.call_count = fields["CallCount"];
   return instance;
 }
 
--- a/src/config/instance.h
+++ b/src/config/instance.h
@@ -15,8 +15,8 @@
   Endpoint address;
   int capacity = 1;
   bool draining = false, primary = false;
-  std::uint64_t calls = 0;  // rises with each call of the database, so that a late one can be known
-  bool same_but_calls(const Instance& other) const;
+  std::uint64_t call_count = 0;  // rises with each call of the database, so that a late one can be known
+  bool equals_ignoring_call_count(const Instance& other) const;
 };
 
 // Reads the body of a database's PUT /instances/ID. kInvalidArgument says in one line what is wrong.
--- a/src/config/state_rows.cc
+++ b/src/config/state_rows.cc
@@ -53,7 +53,7 @@
 
 void apply_head(Configuration& configuration, const Json& fields) {
   configuration.revision = fields.at(0);
-  configuration.limits.transaction_idle_ms = fields.at(1);
+  configuration.limits.transaction_idle_timeout_ms = fields.at(1);
   if (fields.size() < kHeadFields) return;
   configuration.limits = {fields.at(1), fields.at(2), fields.at(3), fields.at(4), fields.at(5)};
 }
@@ -72,8 +72,8 @@
   std::map<std::string, std::string> parts;
   const Limits& limits = configuration.limits;
   parts[kConfigurationHeadKey] =
-      Json::array({configuration.revision, limits.transaction_idle_ms, limits.header_ms, limits.idle_ms,
-                   limits.header_bytes, limits.body_bytes})
+      Json::array({configuration.revision, limits.transaction_idle_timeout_ms, limits.header_timeout_ms,
+                   limits.idle_timeout_ms, limits.max_header_bytes, limits.max_body_bytes})
           .dump();
   for (auto& [name, service] : configuration.services)
     parts[kServicePrefix + name] = Json::array({service.max_connections, service.sync_replicas}).dump();
@@ -122,7 +122,7 @@
 // A list, not an object: a node that starts is told of every database over a thin link.
 std::string encode_instance(const Instance& instance) {
   return Json::array({instance.service, instance.address.text(), instance.zone, instance.capacity,
-                      int(instance.draining), int(instance.primary), instance.calls})
+                      int(instance.draining), int(instance.primary), instance.call_count})
       .dump();
 }
 
--- a/src/controller/control_api.cc
+++ b/src/controller/control_api.cc
@@ -128,7 +128,8 @@
   const Instance& instance = *read;
   const Row* row = replica_->state().find_including_deleted(instance_key(instance.id));
   const auto known = row && !row->deleted ? decode_instance(instance.id, row->value) : std::nullopt;
-  const bool says_nothing_new = row && (row->deleted || (known && known->same_but_calls(instance)));
+  const bool says_nothing_new =
+      row && (row->deleted || (known && known->equals_ignoring_call_count(instance)));
   if (says_nothing_new && replica_->may_serve(loop_.now()))
     return done({200, heartbeat_answer(instance), {}});
   std::string event;
--- a/src/controller/controller.cc
+++ b/src/controller/controller.cc
@@ -297,12 +297,12 @@
     on_suspicion(message);
   } else if (type == "sums") {
     quota_holder_hosts_[message.value("me", "")] = replication::host_of(from);
-    quota_allocator_.heard(message.value("me", ""), now, message.value("l", Json()));
+    quota_allocator_.on_peer_balances(message.value("me", ""), now, message.value("l", Json()));
   } else if (type == "pay") {
     on_rights_request(message, [&](const Json& answer) { peers_.send(from, answer); });
   } else if (type == "paid") {
-    quota_allocator_.paid(message.value("s", ""), message.value("from", ""),
-                          message.value("sum", quota::Rights(0)));
+    quota_allocator_.on_transfer(message.value("s", ""), message.value("from", ""),
+                                 message.value("sum", quota::Rights(0)));
   } else if (type == "tight") {
     const InstanceId id{message.value("id", "")};
     connection_limited_at_[id] = now;
@@ -498,30 +498,31 @@
 // even it out.
 void Controller::exchange_quotas() {
   const Instant now = loop_.now();
-  cluster_.follow(replica_->state());
+  cluster_.update_from(replica_->state());
   const auto& tenants = cluster_.configuration().tenants;
   if (tenants.empty()) return;
-  quota_allocator_.pass(now, tenants, holds_lease() ? replica_->view().members.size() : 0);
+  quota_allocator_.accrue(now, tenants, holds_lease() ? replica_->view().members.size() : 0);
   if (now >= quota_sums_sent_at_ + kQuotaSyncMs) {
     quota_sums_sent_at_ = now;
-    if (Json sums = quota_allocator_.sums(); !sums.is_null())
+    if (Json sums = quota_allocator_.balances(); !sums.is_null())
       peers_.send_to_all({{"t", "sums"}, {"me", quota_allocator_.self()}, {"l", sums}});
   }
-  for (auto& shortage : quota_allocator_.shortages(now)) {
+  for (auto& shortage : quota_allocator_.transfer_requests(now)) {
     auto host = quota_holder_hosts_.find(shortage.peer);
     if (host == quota_holder_hosts_.end()) continue;
     peers_.send(host->second, {{"t", "pay"},
                                {"s", shortage.tenant},
                                {"me", quota_allocator_.self()},
-                               {"known", shortage.known},
-                               {"want", shortage.want}});
+                               {"known", shortage.received},
+                               {"want", shortage.amount}});
   }
 }
 
 void Controller::on_rights_request(const Json& message, const Answer& answer) {
   const std::string tenant = message.value("s", "");
-  auto sum = quota_allocator_.ask(tenant, message.value("me", ""), message.value("known", quota::Rights(0)),
-                                  message.value("want", quota::Rights(0)));
+  auto sum =
+      quota_allocator_.request(tenant, message.value("me", ""), message.value("known", quota::Rights(0)),
+                               message.value("want", quota::Rights(0)));
   if (sum) answer({{"t", "paid"}, {"s", tenant}, {"from", quota_allocator_.self()}, {"sum", *sum}});
 }
 
@@ -535,7 +536,7 @@
       node_leases_.acknowledged_by_all(now, replica_->state().last_sequence());
   const std::size_t nodes = node_leases_.count(now);
   const replication::ViewNumber view = replica_->view().number;
-  cluster_.follow(replica_->state());
+  cluster_.update_from(replica_->state());
   const auto& primaries = cluster_.primaries();
   const bool any_suspended =
       std::any_of(primaries.begin(), primaries.end(), [](auto& entry) { return entry.second.suspended; });
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -114,7 +114,7 @@
   std::set<InboundLink::Ptr> links_;
   std::unique_ptr<Acceptor> acceptor_;
   std::unique_ptr<HttpServer> control_server_;
-  ConfigDelivery::SharedFeed shared_feed_;
+  ConfigDelivery::SharedUpdate shared_feed_;
   std::map<InstanceId, Instant> connection_limited_at_;  // databases that turned connections away
   OutlierDetector outlier_detector_;
   ClusterState cluster_;
--- a/src/controller/status_report.cc
+++ b/src/controller/status_report.cc
@@ -3,7 +3,7 @@
 namespace pebblespindle {
 
 StatusReport::StatusReport(const Sources& sources, Instant now) : sources_(sources), now_(now) {
-  cluster_.follow(sources.replica.state());
+  cluster_.update_from(sources.replica.state());
 }
 
 Json StatusReport::document(bool verbose) const {
@@ -11,7 +11,8 @@
   const auto& outliers = sources_.outlier_detector;
   Json revision;
   if (cluster_.has_configuration()) revision = cluster_.configuration().revision;
-  Json rights = verbose ? sources_.quota_allocator.sums() : Json();  // by tenant, thousandths of an operation
+  Json rights =
+      verbose ? sources_.quota_allocator.balances() : Json();  // by tenant, thousandths of an operation
   return {{"core", sources_.settings.node_name},
           {"zone", sources_.settings.zone},
           {"name", replica.self()},
--- a/src/failover/departed_tracker.cc
+++ b/src/failover/departed_tracker.cc
@@ -31,7 +31,7 @@
   if (watch.primary_position) return query_replicas(view, watch);
   watch.ended.clear();
   for (auto& departed : view.departed)
-    if (departed.heir.empty() && has_ended(departed, now, drain_ms))
+    if (departed.replacement.empty() && has_ended(departed, now, drain_ms))
       watch.ended.push_back(departed.instance.id);
   if (!watch.ended.empty()) query_primary(view, watch);
   query_departed(view, watch, now);
@@ -41,7 +41,7 @@
 // assigned primary is kept until another database has replaced it.
 void DepartedTracker::forget_continued(const ServiceView& view) {
   for (auto& departed : view.departed) {
-    const bool continued = !departed.heir.empty() && departed.instance.id != view.assignment.primary;
+    const bool continued = !departed.replacement.empty() && departed.instance.id != view.assignment.primary;
     if (continued) forget_(departed.instance.id);
   }
 }
@@ -49,7 +49,7 @@
 void DepartedTracker::query_departed(const ServiceView& view, Watch& watch, Instant now) {
   for (auto& departed : view.departed) {
     const InstanceId id = departed.instance.id;
-    if (!departed.heir.empty() || std::count(watch.ended.begin(), watch.ended.end(), id) > 0) continue;
+    if (!departed.replacement.empty() || std::count(watch.ended.begin(), watch.ended.end(), id) > 0) continue;
     ++watch.awaited;
     query_(departed.instance, "INFO",
            [this, service = view.service, round = watch.round, id, now](const DatabaseReply& reply) {
--- a/src/failover/failover.cc
+++ b/src/failover/failover.cc
@@ -19,7 +19,7 @@
 // --- state
 
 const ClusterState& Failover::cluster() {
-  cluster_.follow(state_);
+  cluster_.update_from(state_);
   return cluster_;
 }
 
@@ -58,8 +58,8 @@
   if (!callbacks_.is_leader()) return;  // operations are kept: after a view change the duty returns shortly
   const auto assignments = cluster().primaries();
   std::set<std::string> departed_from;
-  if (cluster().departed().empty()) departed_tracker_.clear();
-  for (auto& [id, departed] : cluster().departed()) departed_from.insert(departed.instance.service);
+  if (cluster().departed_instances().empty()) departed_tracker_.clear();
+  for (auto& [id, departed] : cluster().departed_instances()) departed_from.insert(departed.instance.service);
   for (auto& [service, assignment] : assignments) {
     advance(service, assignment);
     run_maintenance(service, departed_from.count(service) > 0);
@@ -176,8 +176,8 @@
       std::any_of(all.begin(), all.end(), [](auto* other) { return !other->draining; });
   // A primary that has announced its shutdown but still runs can report what it has committed, so the
   // failover is planned.
-  auto departed = cluster().departed().find(assignment.primary);
-  const bool still_runs = departed != cluster().departed().end() &&
+  auto departed = cluster().departed_instances().find(assignment.primary);
+  const bool still_runs = departed != cluster().departed_instances().end() &&
                           !departed_tracker_.has_ended(departed->second, now_, drain_ms_);
   if (still_runs && !may_hand_over(service)) return true;
   if (!all.empty() && (has_successor || !still_runs)) begin(service, still_runs, "the primary has left");
--- a/src/failover/log_holders.cc
+++ b/src/failover/log_holders.cc
@@ -77,7 +77,7 @@
 bool continues_primary_log(const ServiceView& view, const Operation& operation, const InstanceId& id) {
   const InstanceId& primary = view.assignment.primary;
   const DepartedInstance* departed = view.find_departed(primary);
-  if (departed && departed->heir == id) return true;
+  if (departed && departed->replacement == id) return true;
   const auto replacement = replacement_of(operation, primary);
   const Instance* registered = view.find_registered(primary);
   return replacement && replacement->id == id && registered && continues_log(*registered);
@@ -85,7 +85,7 @@
 
 bool has_departed_process_ended(const DepartedInstance& departed, const ProcessLiveness& liveness,
                                 Instant now, Millis drain_ms) {
-  if (!departed.heir.empty() || liveness.has_ended()) return true;
+  if (!departed.replacement.empty() || liveness.has_ended()) return true;
   if (!liveness.silent_since) return false;
   // A database that was draining ends when it departs. One that was not draining keeps running for up to
   // drain_ms, and may be silent only because it can't be reached.
@@ -98,7 +98,7 @@
   for (auto& instance : view.registered) holders.push_back({instance, Kind::kRegistered});
   for (auto& departed : view.departed) {
     const bool is_primary = departed.instance.id == view.assignment.primary;
-    if (!departed.heir.empty() || (!operation.primary_committed.none() && !is_primary)) continue;
+    if (!departed.replacement.empty() || (!operation.primary_committed.none() && !is_primary)) continue;
     holders.push_back({departed.instance, Kind::kDeparted});
     holders.back().instance.draining = true;
   }
@@ -159,7 +159,7 @@
     if (seen != operation.call_seen_at.end() && environment.now >= seen->second + kPromoteExpiryMs) continue;
     // A database gets a new ID when it restarts, so a call that names the former ID has no effect.
     const DepartedInstance* departed = view.find_departed(call.successor);
-    const bool may_run = view.find_registered(call.successor) || (departed && departed->heir.empty());
+    const bool may_run = view.find_registered(call.successor) || (departed && departed->replacement.empty());
     if (!may_run || operation.liveness.of(call.successor).has_ended()) continue;
     open.push_back(call);
   }
--- a/src/failover/pause.cc
+++ b/src/failover/pause.cc
@@ -103,7 +103,7 @@
 Millis Pause::max_log_wait() const {
   const DepartedInstance* departed = view_.find_departed(view_.assignment.primary);
   const bool left_in_order =
-      departed && departed->heir.empty() &&
+      departed && departed->replacement.empty() &&
       has_departed_process_ended(*departed, operation_.liveness.of(departed->instance.id), environment_.now,
                                  environment_.drain_ms);
   return left_in_order ? kReplacementLogWaitMs : kUncoveredLogWaitMs;
--- a/src/failover/promotion.cc
+++ b/src/failover/promotion.cc
@@ -12,7 +12,7 @@
 
 void Promotion::record(const InstanceId& successor) {
   FailoverRecord record = view_.record;
-  record.token = environment_.token;
+  record.fencing_token = environment_.token;
   record.calls = pending_calls();
   operation_.successor = successor;
   operation_.retry_promote = false;
@@ -26,7 +26,7 @@
   const auto& calls = view_.record.calls;
   const bool recorded = std::any_of(calls.begin(), calls.end(), [&](auto& call) {
     return call.number == operation_.call_number && call.successor == operation_.successor &&
-           call.token == environment_.token;
+           call.fencing_token == environment_.token;
   });
   if (!recorded || !view_.assignment.suspended || !environment_.is_leader)
     return retry_after(kFailoverRetryMs);
--- a/src/failover/service_view.cc
+++ b/src/failover/service_view.cc
@@ -29,7 +29,7 @@
   if (const FailoverRecord* record = cluster.failover_of(service)) view.record = *record;
   if (const Row* row = state.find(failover_key(service))) view.record_value = row->value;
   for (auto* instance : cluster.instances_of(service)) view.registered.push_back(*instance);
-  for (auto& [id, departed] : cluster.departed())
+  for (auto& [id, departed] : cluster.departed_instances())
     if (departed.instance.service == service) view.departed.push_back(departed);
   const auto& services = cluster.configuration().services;
   auto spec = services.find(service);
--- a/src/failover/step_machine.cc
+++ b/src/failover/step_machine.cc
@@ -118,12 +118,13 @@
 void StepMachine::take_over() {
   std::string calls;
   for (auto& call : pending_calls())
-    calls += (calls.empty() ? "" : ",") + call.successor.value + "/token" + std::to_string(call.token);
+    calls +=
+        (calls.empty() ? "" : ",") + call.successor.value + "/token" + std::to_string(call.fencing_token);
   log("continues: token=" + std::to_string(environment_.token) + " primary=" +
       view_.assignment.primary.value + " reason=" + view_.record.reason + " open_promotes=" + calls);
   FailoverRecord record = view_.record;
   if (record.id.empty()) record = {new_record_id(), "begun by a build without records", 0, {}, true};
-  record.token = environment_.token;
+  record.fencing_token = environment_.token;
   submit(view_.assignment, record, Step::kSuspending);
 }
 
--- a/src/failover/step_phase.cc
+++ b/src/failover/step_phase.cc
@@ -63,7 +63,7 @@
 std::optional<Instance> StepPhase::find_instance(const InstanceId& id) const {
   if (const Instance* registered = view_.find_registered(id)) return *registered;
   const DepartedInstance* departed = view_.find_departed(id);
-  return departed && departed->heir.empty() ? std::optional(departed->instance) : std::nullopt;
+  return departed && departed->replacement.empty() ? std::optional(departed->instance) : std::nullopt;
 }
 
 std::vector<PromoteCall> StepPhase::pending_calls() const {
--- a/src/failover/survey.cc
+++ b/src/failover/survey.cc
@@ -105,7 +105,7 @@
     return promotion_.record(call.successor);
   }
   log("waits: a promote may still take effect, successor=" + call.successor.value +
-      " token=" + std::to_string(call.token));
+      " token=" + std::to_string(call.fencing_token));
   retry_after(kFailoverRetryMs);
 }
 
--- a/src/pooler/control_feed.h
+++ b/src/pooler/control_feed.h
@@ -12,7 +12,7 @@
   void on_link_up(Millis now) { link_up_at_ = now; }
   // A line of the agent. True: the control state may have moved, and is to be acknowledged.
   bool handle_line(Millis now, std::string_view line);
-  const quota::Holder& controller() const { return controller_; }  // the core that last gave rights
+  const quota::HolderId& controller() const { return controller_; }  // the core that last gave rights
 
  private:
   bool requested_on_this_link(Millis now, Millis at) const { return at >= link_up_at_ && at <= now; }
@@ -20,7 +20,7 @@
   void apply_position(Millis now, const Json& m);
   Engine& engine_;
   Millis link_up_at_ = 0;
-  quota::Holder controller_;
+  quota::HolderId controller_;
 };
 
 }  // namespace pebblespindle::pooler
--- a/src/pooler/engine.cc
+++ b/src/pooler/engine.cc
@@ -260,12 +260,13 @@
   body += sql_protocol::idle(s.state, "-");
   timers_.cancel(s.rest_timer);
   if (s.state != 'I') {
-    s.rest_timer = timers_.at(now_ + cluster_.configuration().limits.transaction_idle_ms, [this, id = s.id] {
-      if (Session* x = find_session(id)) {
-        x->rest_timer = 0;
-        discard_transaction(*x);
-      }
-    });
+    s.rest_timer =
+        timers_.at(now_ + cluster_.configuration().limits.transaction_idle_timeout_ms, [this, id = s.id] {
+          if (Session* x = find_session(id)) {
+            x->rest_timer = 0;
+            discard_transaction(*x);
+          }
+        });
   }
   callbacks_.send_to_client(s.id, std::move(body));
 }
@@ -350,9 +351,9 @@
   bool limited =
       it != cluster_.configuration().tenants.end() && (it->second.rate_per_s > 0 || it->second.burst > 0);
   if (s.charged || !limited) return route_statement(id);
-  auto r = quota_client_.take(now_, s.tenant);
-  if (r.want > 0) callbacks_.request_quota(s.tenant, r.want);
-  if (r.paid) {
+  auto r = quota_client_.try_acquire(now_, s.tenant);
+  if (r.request_amount > 0) callbacks_.request_quota(s.tenant, r.request_amount);
+  if (r.acquired) {
     s.charged = true;
     return route_statement(id);
   }
@@ -367,8 +368,8 @@
   });
 }
 
-void Engine::on_quota_granted(const std::string& tenant, const quota::Holder& from, quota::Rights sum) {
-  quota_client_.paid(now_, tenant, from, sum);
+void Engine::on_quota_granted(const std::string& tenant, const quota::HolderId& from, quota::Rights sum) {
+  quota_client_.on_transfer(now_, tenant, from, sum);
   auto waiting = std::exchange(waiting_for_quota_[tenant], {});
   waiting_for_quota_.erase(tenant);
   for (auto id : waiting) {
--- a/src/pooler/engine.h
+++ b/src/pooler/engine.h
@@ -92,9 +92,9 @@
   // none.
   void on_position_reply(const std::string& service, Millis requested_at, std::optional<Position> position);
   // The core's answer to Port::pay.
-  void on_quota_granted(const std::string& tenant, const quota::Holder& from, quota::Rights sum);
-  quota::Rights known_quota(const std::string& tenant, const quota::Holder& controller) const {
-    return quota_client_.known(tenant, controller);
+  void on_quota_granted(const std::string& tenant, const quota::HolderId& from, quota::Rights sum);
+  quota::Rights known_quota(const std::string& tenant, const quota::HolderId& controller) const {
+    return quota_client_.received_from(tenant, controller);
   }
   // Closes pooled connections that have been idle for too long, and without a lease the sessions that rest.
   void close_idle_connections();
--- a/src/pooler/engine_routing.cc
+++ b/src/pooler/engine_routing.cc
@@ -10,7 +10,7 @@
 // --- the control state ---------------------------------------------------------
 
 void Engine::apply_update(std::uint64_t sequence, std::vector<Row> rows, bool is_snapshot) {
-  if (is_snapshot) rows = cluster_.changes_to(sequence, std::move(rows));
+  if (is_snapshot) rows = cluster_.diff_to_snapshot(sequence, std::move(rows));
   auto leads_before = std::map<std::string, PrimaryAssignment>();
   for (auto& [name, spec] : cluster_.configuration().services)
     if (auto* lead = cluster_.primary_of(name)) leads_before[name] = *lead;
--- a/src/quota/bounded_counter.h
+++ b/src/quota/bounded_counter.h
@@ -10,9 +10,9 @@
 
 namespace pebblespindle::quota {
 
-using Holder = std::string;    // of one life of one process: a row is never continued by another life
+using HolderId = std::string;  // of one life of one process: a row is never continued by another life
 using Rights = std::int64_t;   // thousandths of an operation
-constexpr Rights kOne = 1000;  // one operation
+constexpr Rights kRightsPerOperation = 1000;  // one operation
 
 class BoundedCounter {
  public:
@@ -30,23 +30,23 @@
     return true;
   }
   // R[i][to], as it stands after giving; only what is covered is given.
-  Rights give(const Holder& to, Rights amount) {
+  Rights transfer(const HolderId& to, Rights amount) {
     Rights& sum = given_[to];
     if (amount > 0 && rights() >= amount) sum += amount;
     return sum;
   }
-  Rights given(const Holder& to) const {
+  Rights transferred_to(const HolderId& to) const {
     auto it = given_.find(to);
     return it == given_.end() ? 0 : it->second;
   }
   // R[from][i] as its writer tells it. False: it cannot be.
-  bool hear(const Holder& from, Rights sum) {
+  bool merge_received(const HolderId& from, Rights sum) {
     if (sum < 0) return false;
     Rights& known = got_[from];
     known = std::max(known, sum);
     return true;
   }
-  Rights got(const Holder& from) const {
+  Rights received_from(const HolderId& from) const {
     auto it = got_.find(from);
     return it == got_.end() ? 0 : it->second;
   }
@@ -54,7 +54,7 @@
 
  private:
   Rights credited_ = 0, used_ = 0;
-  std::map<Holder, Rights> given_, got_;
+  std::map<HolderId, Rights> given_, got_;
 };
 
 }  // namespace pebblespindle::quota
--- a/src/quota/quota_allocator.h
+++ b/src/quota/quota_allocator.h
@@ -14,26 +14,27 @@
 
 class QuotaAllocator {
  public:
-  explicit QuotaAllocator(Holder self) : self_(std::move(self)) {}
-  const Holder& self() const { return self_; }
+  explicit QuotaAllocator(HolderId self) : self_(std::move(self)) {}
+  const HolderId& self() const { return self_; }
 
   // Time passes. `cores`: that share every allowance now; 0: this one has no place, and credits nothing.
-  void pass(Millis now, const std::map<std::string, Tenant>& tenants, std::size_t cores);
+  void accrue(Millis now, const std::map<std::string, Tenant>& tenants, std::size_t cores);
   // A holder asks for rights; `known` is what it knows of R[here][it]. The new sum; none for an unknown
   // tenant.
-  std::optional<Rights> ask(const std::string& tenant, const Holder& who, Rights known, Rights want);
-  bool paid(const std::string& tenant, const Holder& from, Rights sum);
+  std::optional<Rights> request(const std::string& tenant, const HolderId& who, Rights received,
+                                Rights amount);
+  bool on_transfer(const std::string& tenant, const HolderId& from, Rights sum);
 
   // What each tenant with a limit has here, for the other cores; null when there is nothing to say.
-  Json sums() const;
-  void heard(const Holder& peer, Millis now, const Json& sums);
-  struct Ask {
-    Holder peer;
+  Json balances() const;
+  void on_peer_balances(const HolderId& peer, Millis now, const Json& sums);
+  struct TransferRequest {
+    HolderId peer;
     std::string tenant;
-    Rights known = 0, want = 0;
+    Rights received = 0, amount = 0;
   };
   // Where this core is short of rights that another has: half the difference.
-  std::vector<Ask> shortages(Millis now);
+  std::vector<TransferRequest> transfer_requests(Millis now);
   Rights rights(const std::string& tenant) const;
 
  private:
@@ -47,10 +48,10 @@
     Millis at = 0;
     std::map<std::string, Rights> sums;
   };
-  Holder self_;
+  HolderId self_;
   Millis last_ = -1;
   std::map<std::string, Store> stores_;
-  std::map<Holder, Peer> peers_;
+  std::map<HolderId, Peer> peers_;
 };
 
 }  // namespace pebblespindle::quota
--- a/src/quota/quota_client.h
+++ b/src/quota/quota_client.h
@@ -13,39 +13,39 @@
 class QuotaClient {
  public:
   struct Outcome {
-    bool paid = false, exhausted = false;
-    quota::Rights want = 0;  // to be asked of the core now; 0: nothing
+    bool acquired = false, exhausted = false;
+    quota::Rights request_amount = 0;  // to be asked of the core now; 0: nothing
   };
-  Outcome take(Millis now, const std::string& tenant) {
+  Outcome try_acquire(Millis now, const std::string& tenant) {
     Held& h = held_[tenant];
     settle(now, h);
     h.pace = h.pace * std::exp2(-double(now - h.at) / 1000.0) + 1;
     h.at = now;
     Outcome o;
-    o.paid = h.account.debit(quota::kOne);
+    o.acquired = h.account.debit(quota::kRightsPerOperation);
     // Ahead of use: what is used here in a moment. Below a threshold more is asked for.
-    auto ahead = quota::Rights(double(quota::kOne) * std::max(1.0, h.pace * kRightsAheadS));
-    if (!o.paid) o.exhausted = now < h.empty_until;
-    bool low = !o.paid || (h.pace > 3 && h.account.rights() < ahead / 10);
+    auto ahead = quota::Rights(double(quota::kRightsPerOperation) * std::max(1.0, h.pace * kRightsAheadS));
+    if (!o.acquired) o.exhausted = now < h.empty_until;
+    bool low = !o.acquired || (h.pace > 3 && h.account.rights() < ahead / 10);
     if (low && !o.exhausted && now >= h.asked_at + kQuotaRequestMs) {
       h.asked_at = now;
-      o.want = ahead + quota::kOne;
+      o.request_amount = ahead + quota::kRightsPerOperation;
     }
     return o;
   }
-  void paid(Millis now, const std::string& tenant, const quota::Holder& from, quota::Rights sum) {
+  void on_transfer(Millis now, const std::string& tenant, const quota::HolderId& from, quota::Rights sum) {
     Held& h = held_[tenant];
     settle(now, h);
-    const quota::Rights before = h.account.got(from);
-    if (!h.account.hear(from, sum)) return;
+    const quota::Rights before = h.account.received_from(from);
+    if (!h.account.merge_received(from, sum)) return;
     h.asked_at = -1000000;
     h.heard_at = now;
     // Nothing more is to be had for a moment: refusals need not wait for the core.
     if (sum <= before) h.empty_until = now + kQuotaRequestMs;
   }
-  quota::Rights known(const std::string& tenant, const quota::Holder& core) const {
+  quota::Rights received_from(const std::string& tenant, const quota::HolderId& core) const {
     auto it = held_.find(tenant);
-    return it == held_.end() ? 0 : it->second.account.got(core);
+    return it == held_.end() ? 0 : it->second.account.received_from(core);
   }
 
  private:
--- a/src/sidecar/client_listener.cc
+++ b/src/sidecar/client_listener.cc
@@ -30,7 +30,7 @@
   loop_.timers().cancel(c->timer);
   if (c->line.awaiting() == Pipeline::Awaiting::kNothing && !c->line.is_finished()) return;
   const Limits& l = callbacks_.limits();
-  Millis most = c->line.awaiting() == Pipeline::Awaiting::kHead ? l.header_ms : l.idle_ms;
+  Millis most = c->line.awaiting() == Pipeline::Awaiting::kHead ? l.header_timeout_ms : l.idle_timeout_ms;
   c->timer = loop_.timers().at(loop_.now() + most, [this, c] {
     c->timer = 0;
     on_timer(c);
--- a/src/sidecar/pipeline.cc
+++ b/src/sidecar/pipeline.cc
@@ -7,10 +7,10 @@
 namespace pebblespindle::sidecar {
 
 Pipeline::Pipeline(const Limits& l)
-    : reader_(HttpReader::Kind::kRequests, l.header_bytes, std::min(l.body_bytes, kMaxCallBytes)) {}
+    : reader_(HttpReader::Kind::kRequests, l.max_header_bytes, std::min(l.max_body_bytes, kMaxCallBytes)) {}
 
 void Pipeline::set_limits(const Limits& l) {
-  if (!reader_.begun()) reader_.bound(l.header_bytes, std::min(l.body_bytes, kMaxCallBytes));
+  if (!reader_.begun()) reader_.bound(l.max_header_bytes, std::min(l.max_body_bytes, kMaxCallBytes));
 }
 
 std::vector<Pipeline::NewCall> Pipeline::read(std::string_view bytes, CallId& last, std::string& out) {
--- a/src/sidecar/sidecar.cc
+++ b/src/sidecar/sidecar.cc
@@ -178,8 +178,9 @@
     i.address = settings_.sidecar_endpoint();
     if (!(left_ == id)) in_.set_database(i);
     const Instance* known = cluster_.instance(id);
-    if (known && known->same_but_calls(i) && now_leased()) return done({200, "", {}});
-    tell_core({{"t", "beat"}, {"id", id.value}, {"v", encode_instance(i)}}, id, i.calls, std::move(done));
+    if (known && known->equals_ignoring_call_count(i) && now_leased()) return done({200, "", {}});
+    tell_core({{"t", "beat"}, {"id", id.value}, {"v", encode_instance(i)}}, id, i.call_count,
+              std::move(done));
   }
 
   bool now_leased() const { return loop_.now() < lease_until_; }
@@ -207,7 +208,7 @@
       if (!rows) return;
       bool was = cluster_.has_configuration();
       std::uint64_t k = m.value("k", std::uint64_t(0));
-      if (m.value("whole", false)) *rows = cluster_.changes_to(k, std::move(*rows));
+      if (m.value("whole", false)) *rows = cluster_.diff_to_snapshot(k, std::move(*rows));
       cluster_.apply(k, *rows);
       if (!was && cluster_.has_configuration())
         log_.say("Ready with configuration " + std::to_string(cluster_.configuration().revision) + ".");
--- a/tests/agent/relay_test.cc
+++ b/tests/agent/relay_test.cc
@@ -137,14 +137,14 @@
   auto m = std::make_unique<Machine>();
   std::size_t seen = 0;
   auto feed = [&](const StateTable& core) {
-    for (auto& line :
-         encode_feed(m->relay.sequence(), core.last_sequence(), core.rows_after(m->relay.sequence()))) {
+    for (auto& line : encode_update_lines(m->relay.sequence(), core.last_sequence(),
+                                          core.rows_after(m->relay.sequence()))) {
       m->relay.on_controller_line(std::string_view(line).substr(0, line.size() - 1));
       for (; seen < m->proxy.size(); ++seen) {
         Json u = Json::parse(m->proxy[seen]);
         auto rows = *decode_rows(u["r"]);
         std::uint64_t before = cluster.sequence();
-        if (u.value("whole", false)) rows = cluster.changes_to(u["k"], std::move(rows));
+        if (u.value("whole", false)) rows = cluster.diff_to_snapshot(u["k"], std::move(rows));
         cluster.apply(u["k"], rows);
         EXPECT_GE(cluster.sequence(), before);
       }
@@ -162,7 +162,7 @@
     for (auto& [id, i] : cluster.instances()) held.insert(id);
     EXPECT_EQ(held, wanted);
     for (auto& [id, i] : cluster.instances())
-      EXPECT_EQ(i.calls, decode_instance(id, core.find(instance_key(id))->value)->calls);
+      EXPECT_EQ(i.call_count, decode_instance(id, core.find(instance_key(id))->value)->call_count);
   };
   start();
   feed(ahead);
--- a/tests/config/command_cluster.h
+++ b/tests/config/command_cluster.h
@@ -180,8 +180,9 @@
     }
     while (history.size() <= top->index) {
       auto t = *applied_change_at(l, history.size());
-      ASSERT_EQ(t.base, history.empty() ? 0 : history.back().revision) << "a change on another version";
-      ASSERT_GT(t.revision, t.base);
+      ASSERT_EQ(t.base_revision, history.empty() ? 0 : history.back().revision)
+          << "a change on another version";
+      ASSERT_GT(t.revision, t.base_revision);
       ASSERT_TRUE(by_digest.count(t.digest)) << "nobody offered this";
       auto& o = orders[by_digest[t.digest]];
       ASSERT_FALSE(o.in_force) << "taken twice: " << tell(by_digest[t.digest]);
--- a/tests/config/command_validation_test.cc
+++ b/tests/config/command_validation_test.cc
@@ -193,7 +193,7 @@
   former.put({kAppliedChangesPrefix, "[]", former.last_sequence() + 1, false});
   std::size_t told = 0;
   for (std::uint64_t from : {0, 5})
-    for (auto& line : encode_feed(from, former.last_sequence(), former.rows_after(from))) {
+    for (auto& line : encode_update_lines(from, former.last_sequence(), former.rows_after(from))) {
       const Json piece = Json::parse(line);
       for (auto& row : piece["r"]) {
         const std::string key = row[0];
--- a/tests/config/config_delivery_test.cc
+++ b/tests/config/config_delivery_test.cc
@@ -39,7 +39,7 @@
   std::string host;
   MemoryStorage disk;
   std::unique_ptr<Replica> node;
-  ConfigDelivery::SharedFeed news;
+  ConfigDelivery::SharedUpdate news;
   struct Link {
     std::uint64_t epoch = 0;
     ConfigDelivery delivery;
@@ -69,7 +69,7 @@
     Json m = Json::parse(line);
     auto rows = *decode_rows(m["r"]);
     std::uint64_t k = m["k"];
-    if (m.value("whole", false)) rows = cluster.changes_to(k, std::move(rows));
+    if (m.value("whole", false)) rows = cluster.diff_to_snapshot(k, std::move(rows));
     cluster.apply(k, rows);
   }
 };
@@ -297,7 +297,7 @@
   Machine m{"m", "", 0, {}, {}, 0, true, 0};
   auto feed = [&] {
     for (auto& line :
-         encode_feed(m.hold.sequence(), core.last_sequence(), core.rows_after(m.hold.sequence())))
+         encode_update_lines(m.hold.sequence(), core.last_sequence(), core.rows_after(m.hold.sequence())))
       m.hand_on(m.hold.apply(Json::parse(line), std::string_view(line).substr(0, line.size() - 1)).forward);
   };
   offer(put_configuration(0, body_of(1, 0, 5)));
--- a/tests/config/configuration_reader_test.cc
+++ b/tests/config/configuration_reader_test.cc
@@ -73,7 +73,7 @@
   EXPECT_EQ(put(patch_configuration(3, first)), 200);
   EXPECT_EQ(put(patch_configuration(3, first)), 200) << "offered again: taken";
   ClusterState cluster;
-  cluster.follow(state);
+  cluster.update_from(state);
   EXPECT_EQ(cluster.configuration().revision, 5u);
   EXPECT_FALSE(cluster.route("h.example", "/x/q"));
   EXPECT_EQ(cluster.route("h.example", "/x/y/q/r")->name, "b");
@@ -92,9 +92,9 @@
     EXPECT_EQ(put(patch_configuration(5, bad)), 400) << bad;
   EXPECT_EQ(put(patch_configuration(3, R"({"Revision":9})")), 412);
   EXPECT_EQ(put(patch_configuration(5, R"({"Revision":9,"Upsert":{"Limits":{"IdleTimeoutMs":700}}})")), 200);
-  cluster.follow(state);
-  EXPECT_EQ(cluster.configuration().limits.idle_ms, 700);
-  EXPECT_EQ(cluster.configuration().limits.header_bytes, 16384u);
+  cluster.update_from(state);
+  EXPECT_EQ(cluster.configuration().limits.idle_timeout_ms, 700);
+  EXPECT_EQ(cluster.configuration().limits.max_header_bytes, 16384u);
   EXPECT_EQ(Json::parse(state.find(kConfigurationKey)->value)["Routes"].size(), 2u);
 }
 
--- a/tests/config/failover_commands_test.cc
+++ b/tests/config/failover_commands_test.cc
@@ -52,7 +52,7 @@
   EXPECT_EQ(state_.find(instance_key({"b"})), nullptr);
   ASSERT_TRUE(departed("b"));
   EXPECT_EQ(departed("b")->instance.address.port, 2);
-  EXPECT_TRUE(departed("b")->heir.empty());
+  EXPECT_TRUE(departed("b")->replacement.empty());
   EXPECT_TRUE(submit(forget_departed({"b"})).is_ok());
   EXPECT_FALSE(departed("b"));
 }
@@ -60,9 +60,9 @@
 TEST_F(FailoverCommands, TheHeirOfAFormerPrimaryIsKnownThroughRestarts) {
   tell("c", 1, true);
   ASSERT_TRUE(departed("a"));
-  EXPECT_EQ(departed("a")->heir.value, "c");
+  EXPECT_EQ(departed("a")->replacement.value, "c");
   tell("d", 1, true);
-  EXPECT_EQ(departed("a")->heir.value, "d");
+  EXPECT_EQ(departed("a")->replacement.value, "d");
 }
 
 TEST_F(FailoverCommands, OfReplicasOnlyThoseThatWereLeavingAreRememberedAtARestart) {
@@ -71,7 +71,7 @@
   tell("e", 2, false, true);
   tell("f", 2, false);
   ASSERT_TRUE(departed("e"));
-  EXPECT_TRUE(departed("e")->heir.empty()) << "it takes its log along";
+  EXPECT_TRUE(departed("e")->replacement.empty()) << "it takes its log along";
 }
 
 TEST_F(FailoverCommands, AStepIsRefusedOnceTheFailoverHasGoneOn) {
@@ -92,7 +92,7 @@
   EXPECT_TRUE(submit(retire_instance({"b"})).is_ok());
   const std::string record = encode_failover({"1.2", "why", 1, {}, false});
   EXPECT_TRUE(submit(encode(UpdateFailover{"s", assignment, assignment, "", record})).is_ok());
-  for (auto& line : encode_feed(0, state_.last_sequence(), state_.rows_after(0))) {
+  for (auto& line : encode_update_lines(0, state_.last_sequence(), state_.rows_after(0))) {
     EXPECT_EQ(line.find(kDepartedPrefix), std::string::npos) << line;
     EXPECT_EQ(line.find(kFailoverPrefix), std::string::npos) << line;
   }
--- a/tests/failover/failover_cluster.h
+++ b/tests/failover/failover_cluster.h
@@ -44,7 +44,7 @@
                                             : Endpoint{"10.0.0.1", std::uint16_t(1 + name.back() - '0')};
     in.primary = dbs[name].primary;
     in.draining = dbs[name].draining;
-    in.calls = ++calls;
+    in.call_count = ++calls;
     return in;
   }
   void tell(int i, bool primary) {
--- a/tests/failover/failover_model.cc
+++ b/tests/failover/failover_model.cc
@@ -47,7 +47,7 @@
   instance.zone = "z";
   instance.address = {"10.0.0.1", std::uint16_t(1 + database.address)};
   instance.primary = database.primary;
-  instance.calls = calls_;
+  instance.call_count = calls_;
   return instance;
 }
 
@@ -70,7 +70,7 @@
 
 failover::ServiceView FailoverModel::view() {
   ClusterState cluster;  // it points into itself, so it is not copied with the model
-  cluster.follow(state_);
+  cluster.update_from(state_);
   auto view = failover::read_service_view(state_, cluster, kService);
   if (amnesia_ == Amnesia::kForgetsDeparted) view.departed.clear();
   if (amnesia_ == Amnesia::kForgetsCalls) {
--- a/tests/pooler/fleet_test.cc
+++ b/tests/pooler/fleet_test.cc
@@ -35,7 +35,9 @@
     std::uint64_t n = state.last_sequence() + 1;
     for (auto& r : v.rows) r.sequence = n, state.put(r);
   }
-  auto lines(std::uint64_t from) { return encode_feed(from, state.last_sequence(), state.rows_after(from)); }
+  auto lines(std::uint64_t from) {
+    return encode_update_lines(from, state.last_sequence(), state.rows_after(from));
+  }
 };
 
 // As an agent does: pieces count together, with the last.
@@ -85,7 +87,7 @@
   core.offer(put_configuration(2, configuration(3, services, 1800, 700)));
   auto grown = core.lines(node.sequence());
   EXPECT_LT(bytes(grown), 1400u * 100u);
-  for (auto& piece : grown) EXPECT_LT(piece.size(), 2 * kFeedChunkBytes);
+  for (auto& piece : grown) EXPECT_LT(piece.size(), 2 * kUpdateChunkBytes);
   EXPECT_GT(grown.size(), 3u);
   take(node, {grown.begin(), grown.end() - 1});
   EXPECT_EQ(node.configuration().revision, 2u) << "a feed that ends midway changes nothing";
--- a/tests/pooler/session_cluster.cc
+++ b/tests/pooler/session_cluster.cc
@@ -85,7 +85,7 @@
 void SessionsWorld::feed_hold() {
   if (hold_.sequence() >= core_.last_sequence()) return;
   for (auto& line :
-       encode_feed(hold_.sequence(), core_.last_sequence(), core_.rows_after(hold_.sequence()))) {
+       encode_update_lines(hold_.sequence(), core_.last_sequence(), core_.rows_after(hold_.sequence()))) {
     auto taken = hold_.apply(Json::parse(line), std::string_view(line).substr(0, line.size() - 1));
     if (taken.forward.empty()) continue;
     Json m = Json::parse(taken.forward);
--- a/tests/quota/quota_test.cc
+++ b/tests/quota/quota_test.cc
@@ -19,13 +19,13 @@
   a.credit(5000);
   EXPECT_FALSE(a.debit(6000));
   EXPECT_TRUE(a.debit(1000));
-  EXPECT_EQ(a.give("b", 3000), 3000);
-  EXPECT_EQ(a.give("b", 2000), 3000) << "not covered: nothing is given";
-  EXPECT_TRUE(b.hear("a", 3000));
-  EXPECT_TRUE(b.hear("a", 2000));  // late, or told twice
-  EXPECT_TRUE(b.hear("a", 3000));
+  EXPECT_EQ(a.transfer("b", 3000), 3000);
+  EXPECT_EQ(a.transfer("b", 2000), 3000) << "not covered: nothing is given";
+  EXPECT_TRUE(b.merge_received("a", 3000));
+  EXPECT_TRUE(b.merge_received("a", 2000));  // late, or told twice
+  EXPECT_TRUE(b.merge_received("a", 3000));
   EXPECT_EQ(b.rights(), 3000);
-  EXPECT_FALSE(b.hear("a", -1)) << "a sum that cannot be";
+  EXPECT_FALSE(b.merge_received("a", -1)) << "a sum that cannot be";
   EXPECT_FALSE(b.debit(-5));
   EXPECT_EQ(a.rights() + b.rights(), 4000);
 }
@@ -33,18 +33,19 @@
 TEST(Quota, AGiverGivesHalfAtMostAndNotTwiceForOneRequest) {
   QuotaAllocator p("core");
   std::map<std::string, Tenant> t{{"x", {"x", {}, 100, 100, 1}}, {"free", {"free", {}, 0, 0, 1}}};
-  for (Millis now = 0; now < 10000; now += 50) p.pass(now, t, 1);
+  for (Millis now = 0; now < 10000; now += 50) p.accrue(now, t, 1);
   Rights had = p.rights("x");
-  EXPECT_LE(had, 100 * kOne) << "what piles up is bounded by the burst";
-  auto first = p.ask("x", "n", 0, 1000 * kOne);
+  EXPECT_LE(had, 100 * kRightsPerOperation) << "what piles up is bounded by the burst";
+  auto first = p.request("x", "n", 0, 1000 * kRightsPerOperation);
   ASSERT_TRUE(first);
   EXPECT_LE(*first, had / 2);
-  EXPECT_EQ(*p.ask("x", "n", 0, 1000 * kOne), *first) << "the answer was lost: told again, not given again";
-  EXPECT_GT(*p.ask("x", "n", *first, 1000 * kOne), *first);
-  EXPECT_FALSE(p.ask("free", "n", 0, kOne)) << "no limit, nothing to count";
-  EXPECT_FALSE(p.ask("unknown", "n", 0, kOne));
+  EXPECT_EQ(*p.request("x", "n", 0, 1000 * kRightsPerOperation), *first)
+      << "the answer was lost: told again, not given again";
+  EXPECT_GT(*p.request("x", "n", *first, 1000 * kRightsPerOperation), *first);
+  EXPECT_FALSE(p.request("free", "n", 0, kRightsPerOperation)) << "no limit, nothing to count";
+  EXPECT_FALSE(p.request("unknown", "n", 0, kRightsPerOperation));
   Rights before = p.rights("x");
-  p.pass(10050, t, 0);
+  p.accrue(10050, t, 0);
   EXPECT_EQ(p.rights("x"), before) << "without a place in the view nothing is credited";
 }
 
@@ -56,7 +57,7 @@
   struct Replica {
     std::unique_ptr<QuotaClient> quota_client;
     std::string name;
-    Holder core;
+    HolderId core;
     int life = 0;
   };
   std::vector<Replica> nodes;
@@ -90,20 +91,22 @@
       w.events.extract(w.events.begin()).mapped()();
     if (w.now % 50 == 0)
       for (auto& c : w.cores) {
-        c->pass(w.now, t, std::size_t(cores));
-        for (auto& a : c->shortages(w.now))
+        c->accrue(w.now, t, std::size_t(cores));
+        for (auto& a : c->transfer_requests(w.now))
           for (auto& peer : w.cores)
             if (peer->self() == a.peer)
               w.send([&w, from = peer.get(), to = c.get(), a] {
-                auto sum = from->ask(a.tenant, to->self(), a.known, a.want);
-                if (sum) w.send([from, to, a, sum] { to->paid(a.tenant, from->self(), *sum); });
+                auto sum = from->request(a.tenant, to->self(), a.received, a.amount);
+                if (sum) w.send([from, to, a, sum] { to->on_transfer(a.tenant, from->self(), *sum); });
               });
       }
     if (w.now % 1000 == 0)
       for (auto& c : w.cores)
         for (auto& peer : w.cores)
           if (peer != c)
-            w.send([&w, to = peer.get(), me = c->self(), s = c->sums()] { to->heard(me, w.now, s); });
+            w.send([&w, to = peer.get(), me = c->self(), s = c->balances()] {
+              to->on_peer_balances(me, w.now, s);
+            });
     if (w.now % 3000 == 2999) {  // a node starts anew: another holder, without rights
       auto& n = w.nodes[std::size_t(w.pick(nodes))];
       n.quota_client = std::make_unique<QuotaClient>();
@@ -115,22 +118,22 @@
     // Most of a tenant's clients are at few nodes.
     std::size_t which = std::size_t(w.chance(0.7) ? w.pick(3) : w.pick(nodes));
     auto& n = w.nodes[which];
-    auto o = n.quota_client->take(w.now, "x");
-    if (o.want > 0) {
+    auto o = n.quota_client->try_acquire(w.now, "x");
+    if (o.request_amount > 0) {
       QuotaAllocator* c = w.cores[which % std::size_t(cores)].get();
-      w.send([&w, c, which, life = n.life, me = n.name, known = n.quota_client->known("x", n.core),
-              want = o.want] {
-        auto sum = c->ask("x", me, known, want);
+      w.send([&w, c, which, life = n.life, me = n.name, known = n.quota_client->received_from("x", n.core),
+              want = o.request_amount] {
+        auto sum = c->request("x", me, known, want);
         if (sum)
           w.send([&w, c, which, life, sum] {
             auto& to = w.nodes[which];
             if (to.life != life) return;
             to.core = c->self();
-            to.quota_client->paid(w.now, "x", c->self(), *sum);
+            to.quota_client->on_transfer(w.now, "x", c->self(), *sum);
           });
       });
     }
-    if (!o.paid) {
+    if (!o.acquired) {
       ++refused;
       continue;
     }
--- a/tests/replication/faulty_cluster.h
+++ b/tests/replication/faulty_cluster.h
@@ -252,7 +252,7 @@
   std::vector<Writer> writers;
   std::vector<Hanger> hangers;
   std::map<std::string, std::map<std::string, ConfigDelivery>> links;
-  std::map<std::string, ConfigDelivery::SharedFeed> news;
+  std::map<std::string, ConfigDelivery::SharedUpdate> news;
   std::map<std::uint64_t, Millis> decided;  // when a view was first known anywhere
   std::map<std::string, std::uint64_t> checked;
   std::set<int> refused, taken;
--- a/tests/replication/golden_messages_test.cc
+++ b/tests/replication/golden_messages_test.cc
@@ -177,7 +177,7 @@
   database.capacity = 12;
   database.primary = host == 1;
   database.draining = host == 3;
-  database.calls = calls;
+  database.call_count = calls;
   return put_instance(database);
 }
 
--- a/tests/sidecar/sidecar_fuzz_test.cc
+++ b/tests/sidecar/sidecar_fuzz_test.cc
@@ -183,8 +183,8 @@
 // nothing.
 TEST(FuzzMesh, PipelinesAnswerInOrderWhateverIsSent) {
   Limits limits;
-  limits.header_bytes = 300;
-  limits.body_bytes = 100;
+  limits.max_header_bytes = 300;
+  limits.max_body_bytes = 100;
   int refused = 0;
   for (int seed = 1; seed <= rounds(10000); ++seed) {
     SCOPED_TRACE(seed);
--- a/tests/sidecar/socket_answers_test.cc
+++ b/tests/sidecar/socket_answers_test.cc
@@ -143,10 +143,10 @@
 
 TEST(AnswersWire, LimitsBindThoseTheyAreMeantFor) {
   FrontWorld w;
-  w.limits.header_ms = 300;
-  w.limits.idle_ms = 1500;
-  w.limits.body_bytes = 1000;
-  w.limits.header_bytes = 500;
+  w.limits.header_timeout_ms = 300;
+  w.limits.idle_timeout_ms = 1500;
+  w.limits.max_body_bytes = 1000;
+  w.limits.max_header_bytes = 500;
   Peer rests(w.loop.io(), w.at), head(w.loop.io(), w.at), body(w.loop.io(), w.at), idle(w.loop.io(), w.at);
   Peer large(w.loop.io(), w.at), many(w.loop.io(), w.at);
   head.say("GET /h HTTP/1.1\r\nHos");
--- a/tests/storage/stored_data_test.cc
+++ b/tests/storage/stored_data_test.cc
@@ -82,7 +82,7 @@
   auto disk = open("stored_head.sql");
   auto node = start(*disk, "10.1.0.4");
   ClusterState cluster;
-  cluster.follow(node->state());
+  cluster.update_from(node->state());
   EXPECT_EQ(cluster.configuration().revision, 8u);
   EXPECT_EQ(cluster.configuration().services.at("store").max_connections, 12);
   EXPECT_EQ(cluster.configuration().services.at("archive").sync_replicas, 0);
@@ -111,7 +111,7 @@
   const auto newest = newest_applied_change(node->state());
   ASSERT_TRUE(newest);
   EXPECT_EQ(newest->index, 1u);
-  EXPECT_EQ(newest->base, 7u);
+  EXPECT_EQ(newest->base_revision, 7u);
   EXPECT_EQ(newest->revision, 8u);
   ASSERT_TRUE(applied_change_at(node->state(), 0));
   EXPECT_EQ(applied_change_at(node->state(), 0)->revision, 7u);
