--- a/src/replication/codec.cc
+++ b/src/replication/codec.cc
@@ -13,8 +13,8 @@
   return value.get<std::uint64_t>() <= kMaxWireNumber;
 }
 
-// Reads the fields of one message. A field that is missing or has another type marks the message as
-// malformed; what is read afterwards means nothing.
+// Reads the fields of one message. A required field that is missing, or a field of the wrong type, marks the
+// message as malformed; values read after that are meaningless.
 class FieldReader {
  public:
   explicit FieldReader(const Json& fields) : fields_(fields) {}
@@ -37,7 +37,7 @@
     const Json* value = find(name, false, [](const Json& field) { return field.is_boolean(); });
     return value && value->get<bool>();
   }
-  // An empty list where there is none.
+  // An empty list if the field is missing.
   Json list(const char* name, bool required = false) {
     const Json* value = find(name, required, [](const Json& field) { return field.is_array(); });
     return value ? *value : Json::array();
@@ -52,7 +52,7 @@
         find(name, required, [](const Json& field) { return decode_view(field).has_value(); });
     return value ? decode_view(*value) : std::nullopt;
   }
-  // Read leniently: anything, or null.
+  // The field without any check; null if it is missing.
   Json any(const char* name) const { return fields_.value(name, Json()); }
 
  private:
@@ -70,7 +70,7 @@
   bool well_formed_ = true;
 };
 
-// --- status codes in messages -----------------------------------------------------------------------------
+// --- Status codes in messages; the numbers are those of HTTP ---
 
 constexpr int kEncodedOk = 200;
 constexpr int kEncodedInvalid = 400;
@@ -103,7 +103,7 @@
   }
 }
 
-// --- encoding ---------------------------------------------------------------------------------------------
+// --- Encoding ---
 
 Json encode_fields(const IgnoredMessage&) {
   return Json{{"t", "ignored"}};
@@ -226,7 +226,7 @@
   return {{"t", "dec"}, {"view", encode_view(decision.view)}};
 }
 
-// --- decoding ---------------------------------------------------------------------------------------------
+// --- Decoding ---
 
 Message decode_heartbeat(FieldReader& fields) {
   Heartbeat heartbeat;
--- a/src/replication/codec.h
+++ b/src/replication/codec.h
@@ -1,14 +1,15 @@
-// The encoded form of the messages between replicas, and of the parts of them that stand on the disk.
+// JSON encoding of the messages between replicas, and of those parts of them that are stored on disk.
 //
-// Field names are one or two letters: they cross zones four times a second. Old and new builds talk to each
-// other during an upgrade, so the form stays as it is; tests/data/replication_messages.txt holds examples.
+// Field names have one or two letters because heartbeats cross zones four times a second. During an upgrade
+// old and new builds exchange messages, so the encoding must not change; tests/data/replication_messages.txt
+// holds examples.
 #pragma once
 #include "replication/messages.h"
 
 namespace pebblespindle::replication {
 
 Json encode(const Message& message);
-// kInvalidArgument for a message that is malformed; one of an unknown type decodes to IgnoredMessage.
+// Returns kInvalidArgument for a malformed message. A message of an unknown type decodes to IgnoredMessage.
 Result<Message> decode(const Json& encoded);
 
 Json encode_progress(const TransferProgress& progress);
--- a/src/replication/environment.h
+++ b/src/replication/environment.h
@@ -1,4 +1,4 @@
-// What a replica needs from the process around it.
+// The services that a replica needs from its process.
 #pragma once
 #include <string>
 #include <vector>
@@ -8,10 +8,10 @@
 
 namespace pebblespindle::replication {
 
-// What the head decides about a submitted command.
+// The head's decision on a submitted command.
 struct ValidationResult {
-  Status status{};          // kInvalidArgument, kConflict or kUnavailable: refused
-  std::vector<Row> rows{};  // to write, sequence numbers not yet given; none: nothing changes
+  Status status{};          // kInvalidArgument, kConflict or kUnavailable if the command is refused
+  std::vector<Row> rows{};  // to be written, without sequence numbers; empty: the command changes nothing
 };
 
 class Environment {
@@ -21,13 +21,13 @@
   Environment(const Environment&) = delete;
   Environment& operator=(const Environment&) = delete;
 
-  // Hands the message to the link to a peer. It may be lost.
+  // Hands the message to the link to a peer. The message may be lost.
   virtual void send(const ReplicaId& to, const Message& message) = 0;
-  // Runs at the head: a pure function of the state.
+  // Called at the head. Must be a pure function of its arguments.
   virtual ValidationResult validate(const StateTable& state, const Json& command) = 0;
-  // More is committed than before; Replica::committed() tells how much.
+  // Called when Replica::committed() has risen.
   virtual void on_committed() = 0;
-  // Something that the person on call may want to know: one line, an event and its identifiers.
+  // Logs an event that an operator may want to know of: one line with the event and its identifiers.
   virtual void log_event(const std::string& event) = 0;
 };
 
--- a/src/replication/local_state.cc
+++ b/src/replication/local_state.cc
@@ -8,7 +8,7 @@
 namespace pebblespindle::replication {
 namespace {
 
-// Keys of the metadata; data of this form is stored in installations.
+// Metadata keys. They are part of the storage format and must not change.
 const char* const kDurableKey = "durable";
 const char* const kViewKey = "view";
 const char* const kLastSequenceKey = "stored";
@@ -39,7 +39,7 @@
   if (last_sequence.is_number_unsigned())
     table.set_last_sequence(std::max<SequenceNumber>(table.last_sequence(), last_sequence));
   table.compact(number(durable, "trimmed"));
-  // A state of a former version knows no terms: all that it holds counts as of the present head's.
+  // Older versions stored no terms: all their rows are assigned to the term of the present head.
   if (auto terms = decode_terms(durable.value("terms", Json())))
     history.record(*terms);
   else if (table.last_sequence() > 0)
--- a/src/replication/local_state.h
+++ b/src/replication/local_state.h
@@ -1,8 +1,9 @@
-// What this replica itself holds: its view, its part in the agreement, and the replicated state, all of which
-// is on its disk, and whether it takes part.
+// The durable state of this replica: its view, its Paxos promises and the replicated rows; also whether the
+// replica participates.
 //
-// Invariant: what the members say while takes_part() is what the disk holds. They are changed first and then
-// saved; where the disk refuses, the replica takes no part until load() has read them anew.
+// Invariant: while is_participating(), whatever this replica says in messages is on its disk. The members are
+// changed in memory first and then saved; if the disk refuses the write, the replica stops participating
+// until load() has read them from disk again.
 #pragma once
 #include <functional>
 #include <optional>
@@ -13,7 +14,7 @@
 
 namespace pebblespindle::replication {
 
-// A proposal of the view that is voted on.
+// Identifies a proposal in the agreement on view number `view`.
 struct ProposalId {
   ViewNumber view = 0;
   ProposalNumber number = 0;
@@ -21,16 +22,17 @@
 
 class LocalState {
  public:
-  // on_refused: called when the disk has refused a write; the replica takes no part by then.
+  // on_write_refused: called after the disk has refused a write; the replica no longer participates by then.
   LocalState(ReplicaId initial_id, Storage& storage, std::function<void()> on_write_refused)
       : self(std::move(initial_id)), storage_(storage), on_write_refused_(std::move(on_write_refused)) {}
 
   void load();
-  // All that is small is written whole with each batch. kIoError: see the invariant above.
+  // Writes the batch together with all metadata (everything but the rows). Returns kIoError if the disk
+  // refuses; see the invariant above.
   Status save(WriteBatch batch = {});
-  // Ok when the disk takes writes again; call load() then.
+  // Returns ok if the disk accepts writes again; the caller then has to call load().
   Status reopen();
-  // Drops the state that is being received, here and on the disk with the batch.
+  // Drops a partly received state from memory, and from disk once the batch is written.
   void drop_transfer(WriteBatch& batch);
 
   bool is_participating() const { return !disk_failed_ && !stopped; }
@@ -38,7 +40,7 @@
   bool is_member() const { return view.has_member(self); }
   bool is_head() const { return view.head() == self; }
   bool is_tail() const { return view.tail() == self; }
-  // A member that holds the whole state of the present view.
+  // Whether this replica is a member that holds the whole state of the present view.
   bool in_sync() const {
     return is_participating() && view.number > 0 && synced_view == view.number && is_member();
   }
@@ -48,12 +50,12 @@
   View view;
   ProposalId promised, accepted;
   std::optional<View> accepted_view;
-  ViewNumber synced_view = 0;  // the newest view whose state is held in full
+  ViewNumber synced_view = 0;  // the newest view whose state this replica holds in full
   StateTable table;
   TermHistory history;
-  std::optional<TransferProgress> transfer;  // of a state that is being received
-  StateTable staged_table;                   // what has been received of it
-  bool stopped = false;                      // about to end; not on the disk
+  std::optional<TransferProgress> transfer;  // of the state that is being received; none: no transfer
+  StateTable staged_table;                   // the rows received so far in that transfer
+  bool stopped = false;                      // the process is about to exit; not stored on disk
 
  private:
   Json encode_durable() const;
--- a/src/replication/messages.h
+++ b/src/replication/messages.h
@@ -1,7 +1,8 @@
-// What replicas say to each other. replication/codec.h has the encoded form.
+// The messages between replicas. replication/codec.h encodes them.
 //
-// Messages are not acknowledged by the transport: each may be lost, repeated, or come late, from a former
-// view or a former process. Each names the view or the request it belongs to, and counts for nothing else.
+// The transport does not acknowledge messages: each may be lost, repeated or delayed, and may come from a
+// former view or a former process. Each message names the view or the request that it belongs to, and is
+// ignored in any other.
 #pragma once
 #include <optional>
 #include <string>
@@ -14,73 +15,75 @@
 
 namespace pebblespindle::replication {
 
-// --- liveness and leases ----------------------------------------------------------------------------------
+// --- Liveness and leases ---
 
 struct Heartbeat {
   ViewNumber view = 0;                         // the newest view that the sender knows
-  ViewNumber synced_view = 0;                  // the newest view whose state it holds in full
+  ViewNumber synced_view = 0;                  // the newest view whose state the sender holds in full
   Instant sent_at = 0;                         // by the sender's clock
-  std::optional<ViewNumber> caught_up_view{};  // a standby: the view as of which it holds the state
-  bool without_lease = false;                  // a member that no majority has granted its place
-  bool not_participating = false;              // its disk refuses writes, or it is about to end
-  bool leaving = false;                        // it wants to hand over and end
+  std::optional<ViewNumber> caught_up_view{};  // from a standby: the view whose state it has caught up with
+  bool without_lease = false;                  // from a member that holds no lease from a majority of voters
+  bool not_participating = false;  // the sender's disk refuses writes, or its process is about to exit
+  bool leaving = false;            // the sender wants to hand over its vote and exit
 };
 
-// A voter's lease to a member of the present view, counted from when the heartbeat was sent.
+// Sent by a voter to grant a member of the present view a lease, which counts from the sending of the
+// heartbeat.
 struct LeaseGrant {
   ViewNumber view = 0;
-  Instant heartbeat_sent_at = 0;  // by the clock of who holds the lease
+  Instant heartbeat_sent_at = 0;  // by the lease holder's clock
 };
 
-// --- the chain
-// ----------------------------------------------------------------------------------------------
+// --- The chain ---
 
-// Which submission a change came from, so that its origin can be answered by whoever is the tail by then.
+// The submission that a change came from. It travels with the change so that whichever replica is the tail by
+// then can answer the submitter.
 struct Origin {
   SequenceNumber sequence = 0;
   ReplicaId replica;
   RequestId request = 0;
 };
 
-// Rows that follow on a sequence number: from the predecessor, or as the answer to a StateRequest.
+// Rows that follow `base_sequence`: sent by the predecessor, or by any member in reply to a StateRequest.
 struct Append {
   ViewNumber view = 0;
-  std::optional<RequestId> in_reply_to{};  // the StateRequest that it answers
-  SequenceNumber base_sequence = 0;        // what it follows on
+  std::optional<RequestId> in_reply_to{};  // the StateRequest that this replies to
+  SequenceNumber base_sequence = 0;        // the sequence number that the rows follow
   TermNumber base_term = 0;
   SequenceNumber last_sequence = 0;
   std::vector<Row> rows;
-  std::vector<TermStart> terms;  // that begin above the base
+  std::vector<TermStart> terms;  // those that start above base_sequence
   std::vector<Origin> origins;
 };
 
-// From the successor: all up to here is stored by the tail.
+// Sent by the successor: the tail has stored all rows up to `sequence`.
 struct Commit {
   ViewNumber view = 0;
   SequenceNumber sequence = 0;
 };
 
-// --- state transfer
-// -----------------------------------------------------------------------------------------
+// --- State transfer ---
 
-// How far a state that goes in several chunks has come; kept by the receiver, also on its disk.
+// Progress of a state transfer in chunks. The receiver keeps it, also on disk, and returns it with each
+// StateRequest. A transfer scans all rows by key first and then the rows that have changed since by sequence
+// number.
 struct TransferProgress {
-  bool whole_state = false;          // it will replace the rows; else it adds to them
-  bool keys_scanned = false;         // all keys were walked; what has changed since follows, by sequence
-  std::string last_key;              // where the walk by key stands
-  SequenceNumber next_sequence = 0;  // where the walk by sequence stands
+  bool whole_state = false;          // the transfer replaces the receiver's rows; else it adds to them
+  bool keys_scanned = false;         // the scan by key is complete; the scan by sequence number follows
+  std::string last_key;              // the last key that the scan by key has sent
+  SequenceNumber next_sequence = 0;  // position of the scan by sequence number, with next_key
   std::string next_key;
-  SequenceNumber source_sequence = 0;  // up to which the source stood that sent the last chunk
+  SequenceNumber source_sequence = 0;  // the last sequence number of the source when it sent the last chunk
   TermNumber source_term = 0;
   bool operator==(const TransferProgress&) const = default;
 };
 
-// Asks the successor to say what it holds.
+// Asks the successor to report its position with a StateRequest.
 struct StateQuery {
   ViewNumber view = 0;
 };
 
-// What the sender holds; it wants what it lacks.
+// Reports what the sender holds and asks for what it lacks.
 struct StateRequest {
   ViewNumber view = 0;
   RequestId request = 0;
@@ -88,12 +91,13 @@
   SequenceNumber committed = 0;
   SequenceNumber last_sequence = 0;
   TermNumber last_term = 0;
-  std::optional<TransferProgress> progress{};  // of a transfer that has begun
+  std::optional<TransferProgress> progress{};  // of a transfer that is under way
 };
 
-// With the last chunk: what tells a complete state.
+// Sent with the last chunk; lets the receiver check that the state is complete.
 struct TransferEnd {
-  std::optional<std::vector<TermStart>> terms{};  // none: unreadable, the state is dropped
+  // None: the field was unreadable; the receiver drops the state.
+  std::optional<std::vector<TermStart>> terms{};
   SequenceNumber compacted_to = 0;
   std::size_t row_count = 0;
 };
@@ -101,27 +105,27 @@
 struct StateChunk {
   ViewNumber view = 0;
   RequestId in_reply_to = 0;
-  bool is_first = false;  // what was received before is dropped
+  bool is_first = false;  // begins a new transfer: the receiver drops what it has staged
   TransferProgress progress;
   std::vector<Row> rows;
   std::optional<TransferEnd> end{};
 };
 
-// --- submissions and reads
-// ----------------------------------------------------------------------------------
+// --- Submissions and reads ---
 
-// A change offered to the head. The command is opaque here; Environment::validate turns it into rows.
+// A change submitted to the head. The replicas do not interpret the command; Environment::validate turns it
+// into rows.
 struct SubmitRequest {
   RequestId request = 0;
-  ViewNumber view = 0;        // the view it is meant for
-  std::uint64_t attempt = 0;  // counts how often it was sent
+  ViewNumber view = 0;        // the sender's view; the head ignores requests of other views
+  std::uint64_t attempt = 0;  // how often the request has been sent, this time included
   Json command;
 };
 
 struct SubmitReply {
   RequestId request = 0;
   Status status;              // ok, kInvalidArgument, kConflict or kUnavailable
-  std::uint64_t attempt = 0;  // that is refused; 0 when ok
+  std::uint64_t attempt = 0;  // the attempt that is refused; 0 if ok
 };
 
 struct ReadRequest {
@@ -131,11 +135,10 @@
 
 struct ReadReply {
   RequestId request = 0;
-  std::optional<std::string> value{};  // none: there is no such row
+  std::optional<std::string> value{};  // none: there is no row with this key
 };
 
-// --- agreement on the next view
-// -----------------------------------------------------------------------------
+// --- Agreement on the next view (see replication/view_change.h) ---
 
 struct Prepare {
   ViewNumber view = 0;
@@ -150,8 +153,8 @@
 struct Promise {
   ViewNumber view = 0;
   ProposalNumber proposal = 0;
-  ViewNumber synced_view = 0;
-  std::optional<AcceptedProposal> accepted{};
+  ViewNumber synced_view = 0;                  // the newest view whose state the sender holds in full
+  std::optional<AcceptedProposal> accepted{};  // what the sender has accepted for this view
 };
 
 struct Accept {
@@ -168,7 +171,7 @@
   View view;
 };
 
-// A message of a newer release, or one whose content means nothing here: no harm, and no effect.
+// A message of an unknown type (from a newer release) or without usable content. It has no effect.
 struct IgnoredMessage {};
 
 using Message = std::variant<IgnoredMessage, Heartbeat, LeaseGrant, Append, Commit, StateQuery, StateRequest,
--- a/src/replication/outbox.h
+++ b/src/replication/outbox.h
@@ -1,4 +1,4 @@
-// Where the parts of a replica put their messages.
+// Sends the messages of a replica's components.
 #pragma once
 #include "replication/messages.h"
 
@@ -11,7 +11,7 @@
   Outbox(const Outbox&) = delete;
   Outbox& operator=(const Outbox&) = delete;
 
-  // A message to oneself is handled before this returns.
+  // A message to this replica itself is handled before send() returns.
   virtual void send(const ReplicaId& to, const Message& message) = 0;
   virtual void send_to_others(const Message& message) = 0;
 };
--- a/src/replication/peer_table.cc
+++ b/src/replication/peer_table.cc
@@ -29,7 +29,7 @@
   peer.view = heartbeat.view;
   peer.synced_view = heartbeat.synced_view;
   peer.caught_up_view = heartbeat.caught_up_view.value_or(0);
-  // Without the view's state it has no lease either; that is told by itself.
+  // A peer without the view's state can hold no lease; out_of_sync_since covers that case.
   if (!heartbeat.without_lease || peer.synced_view != peer.view)
     peer.without_lease_since.reset();
   else if (!peer.without_lease_since)
--- a/src/replication/pending_requests.cc
+++ b/src/replication/pending_requests.cc
@@ -8,7 +8,7 @@
 namespace {
 
 const char* const kNoAnswer = "no answer from the chain";
-const char* const kEnded = "this controller ends";
+const char* const kShuttingDown = "this controller ends";
 
 template <class Request>
 std::vector<RequestId> timed_out(Instant now, const std::map<RequestId, Request>& requests) {
@@ -21,7 +21,7 @@
 }  // namespace
 
 void PendingRequests::submit(Instant now, const View& view, Json command, SubmitCallback done) {
-  if (shut_down_) return done(Status::no_answer(kEnded));
+  if (shut_down_) return done(Status::no_answer(kShuttingDown));
   const RequestId request = ++last_request_id_;
   Submission& submission = submissions_[request];
   submission.command = std::move(command);
@@ -31,7 +31,7 @@
 }
 
 void PendingRequests::read(Instant now, const View& view, const std::string& key, ReadCallback done) {
-  if (shut_down_) return done(Status::no_answer(kEnded));
+  if (shut_down_) return done(Status::no_answer(kShuttingDown));
   const RequestId request = ++last_request_id_;
   Read& read = reads_[request];
   read.key = key;
@@ -46,7 +46,7 @@
   if (head.empty()) return;
   submission.target = head;
   ++submission.attempts;
-  // The submission may be answered, and gone, before this returns.
+  // `submission` may be dangling after this call: a reply handled within it erases the submission.
   outbox_.send(head, SubmitRequest{request, view.number, submission.attempts, submission.command});
 }
 
@@ -61,9 +61,9 @@
   if (it == submissions_.end()) return;
   const Submission& submission = it->second;
   const bool from_target = from == submission.target;
-  const bool counts = reply.status.is_ok() ? from_target || view.has_member(from)
-                                           : from_target && reply.attempt == submission.attempts;
-  if (counts) finish_submission(reply.request, reply.status);
+  const bool is_valid = reply.status.is_ok() ? from_target || view.has_member(from)
+                                             : from_target && reply.attempt == submission.attempts;
+  if (is_valid) finish_submission(reply.request, reply.status);
 }
 
 void PendingRequests::on_reply(const ReplicaId& from, const ReadReply& reply) {
@@ -82,18 +82,19 @@
 }
 
 void PendingRequests::tick(Instant now, const View& view) {
-  const auto ended_submissions = timed_out(now, submissions_);
+  const auto timed_out_submissions = timed_out(now, submissions_);
   retry(now, view, submissions_);
-  for (auto id : ended_submissions) finish_submission(id, Status::no_answer(kNoAnswer));
-  const auto ended_reads = timed_out(now, reads_);
+  for (auto id : timed_out_submissions) finish_submission(id, Status::no_answer(kNoAnswer));
+  const auto timed_out_reads = timed_out(now, reads_);
   retry(now, view, reads_);
-  for (auto id : ended_reads) finish_read(id, Status::no_answer(kNoAnswer));
+  for (auto id : timed_out_reads) finish_read(id, Status::no_answer(kNoAnswer));
 }
 
 void PendingRequests::shut_down() {
   shut_down_ = true;
-  for (auto& [id, submission] : std::exchange(submissions_, {})) submission.done(Status::no_answer(kEnded));
-  for (auto& [id, read] : std::exchange(reads_, {})) read.done(Status::no_answer(kEnded));
+  for (auto& [id, submission] : std::exchange(submissions_, {}))
+    submission.done(Status::no_answer(kShuttingDown));
+  for (auto& [id, read] : std::exchange(reads_, {})) read.done(Status::no_answer(kShuttingDown));
 }
 
 void PendingRequests::finish_submission(RequestId request, Status status) {
--- a/src/replication/pending_requests.h
+++ b/src/replication/pending_requests.h
@@ -1,9 +1,10 @@
-// Submissions and reads of this process that wait for their answer from the chain. They are sent again until
-// they are answered or their callers would have given up.
+// Submissions and reads that this process has sent to the chain and that await a reply. They are sent again
+// until they are answered or time out.
 //
-// That a change was taken is true whoever of the chain says so. A refusal counts only from the head that was
-// asked last, and for the last attempt: after an earlier one the change may have been taken. A value counts
-// only from the tail that was asked last.
+// An acknowledgement is accepted from any member of the chain, as a change that was taken stays taken. A
+// refusal counts only if it comes from the head that was asked last and refers to the last attempt: the
+// change may have been taken after an earlier attempt. A value counts only if it comes from the tail that was
+// asked last.
 #pragma once
 #include <functional>
 #include <map>
@@ -15,9 +16,10 @@
 
 namespace pebblespindle::replication {
 
-// ok: committed, or nothing to change. kNoAnswer: it may have been committed.
+// Called with ok if the change is committed or changes nothing, with kNoAnswer if the outcome is unknown (the
+// change may have been committed), else with the head's refusal.
 using SubmitCallback = std::function<void(Status)>;
-// none: there is no such row. kNoAnswer when the chain was silent.
+// Called with the value, with none if there is no such row, or with kNoAnswer if the chain did not reply.
 using ReadCallback = std::function<void(Result<std::optional<std::string>>)>;
 
 class PendingRequests {
@@ -29,10 +31,10 @@
   void read(Instant now, const View& view, const std::string& key, ReadCallback done);
   void on_reply(const ReplicaId& from, const View& view, const SubmitReply& reply);
   void on_reply(const ReplicaId& from, const ReadReply& reply);
-  // Sends again what is due, and ends what has taken too long.
+  // Sends requests again that are due for a retry, and fails those that have timed out.
   void tick(Instant now, const View& view);
-  // This process ends: whoever waits is told so now, and so is whoever comes later. What was submitted may
-  // still be committed.
+  // Called when the process is about to exit: answers all pending and all later requests at once with
+  // kNoAnswer. A submitted change may still be committed.
   void shut_down();
 
  private:
--- a/src/replication/replica.cc
+++ b/src/replication/replica.cc
@@ -8,8 +8,8 @@
 namespace pebblespindle::replication {
 namespace {
 
-// Request ids of a former process are not met again: each process starts at a number of its own, which leaves
-// room to count.
+// The random start keeps replies to a former process from matching a request. The upper 16 bits are cleared
+// so that the counter stays below kMaxWireNumber.
 RequestId initial_request_id(std::uint64_t incarnation) {
   return incarnation << 16 >> 16;
 }
@@ -46,9 +46,9 @@
   for (auto& seed : options.seeds) peers_.add_host(seed);
   load_state();
   if (state_.view.number > 0) return;
-  const bool founder =
+  const bool is_seed =
       std::find(options.seeds.begin(), options.seeds.end(), options.host) != options.seeds.end();
-  if (options.bootstrap && founder) {
+  if (options.bootstrap && is_seed) {
     bootstrap(options.seeds);
     return;
   }
@@ -65,10 +65,10 @@
   view.voters = std::move(seeds);
   state_.synced_view = 1;
   state_.history.record(1, 1);
-  (void)state_.save();  // refused: on_disk_refused() has been called
+  (void)state_.save();  // if refused, on_disk_refused() has been called
 }
 
-// Takes the state from the disk: at the start, and after the disk has refused a write.
+// Loads the state from disk: at the start, and after the disk has refused a write.
 void Replica::load_state() {
   state_.load();
   chain_.on_state_loaded();
@@ -80,10 +80,9 @@
   for (auto& voter : state_.view.voters) peers_.add_host(host_of(voter));
 }
 
-// --- the disk
-// -------------------------------------------------------------------------------------------------
+// --- The disk ---
 
-// What memory holds is not what the disk holds: no part is taken until the disk has been read anew.
+// Memory now differs from the disk, so this replica does not participate until it has read the disk again.
 void Replica::on_disk_refused() {
   relinquish_leases();
   environment_.log_event("disk refuses a write: takes no part until it accepts one, id=" + state_.self);
@@ -99,8 +98,7 @@
   environment_.log_event("disk accepts writes again: takes part, id=" + state_.self);
 }
 
-// --- leases and liveness
-// --------------------------------------------------------------------------------------
+// --- Leases and liveness ---
 
 bool Replica::is_leader(Instant now) const {
   return state_.is_head() && holds_lease(now, kLeaderGuardMs);
@@ -116,7 +114,8 @@
   return view.number > 0 && voters >= view.majority();
 }
 
-// Whoever takes no part says so, and acts on no lease it was given: the others need not wait for their end.
+// Stops using all leases and reports that in a heartbeat, so that the others need not wait for the leases to
+// expire.
 void Replica::relinquish_leases() {
   lease_.relinquish(now_);
   send_heartbeat();
@@ -158,8 +157,7 @@
   receiver_.request_at_next_call();
 }
 
-// --- graceful shutdown
-// ----------------------------------------------------------------------------------------
+// --- Graceful shutdown ---
 
 void Replica::begin_leaving(Instant now) {
   now_ = now;
@@ -170,12 +168,15 @@
 bool Replica::may_exit(Instant now) const {
   const View& view = state_.view;
   if (!state_.is_member()) return true;
-  if (!view.has_voter(state_.self)) {  // once as many know of it as can take the next loss
-    const auto knows = [&](const ReplicaId& voter) {
+  // Without a vote it waits until a majority of the voters knows this view, so that this survives the next
+  // loss of a replica.
+  if (!view.has_voter(state_.self)) {
+    const auto has_this_view = [&](const ReplicaId& voter) {
       const Peer* peer = peers_.find(voter);
       return peer && peer->view >= view.number;
     };
-    return std::size_t(std::count_if(view.voters.begin(), view.voters.end(), knows)) >= view.majority();
+    return std::size_t(std::count_if(view.voters.begin(), view.voters.end(), has_this_view)) >=
+           view.majority();
   }
   const auto can_take_vote = [&](const ReplicaId& id, const Peer& peer) {
     return !view.has_voter(id) && !peer.not_participating && !peer.leaving &&
@@ -192,8 +193,7 @@
   requests_.shut_down();
 }
 
-// --- the clock
-// ------------------------------------------------------------------------------------------------
+// --- The clock ---
 
 void Replica::tick(Instant now) {
   now_ = now;
@@ -207,7 +207,7 @@
     planner_.track_out_of_sync_members(now);
     chain_.track_stalled_successor(now, holds_lease(now));
     propose_next_view();
-    answer_submissions();  // what waited for the lease
+    answer_submissions();  // replies that were held back while this member had no lease
     receiver_.request_state(now, committed());
     chain_.retry(now, is_peer_in_sync(state_.view.successor(state_.self)));
   }
@@ -231,8 +231,7 @@
   for (auto& host : peers_.hosts()) environment_.send(peers_.current_id_at(host), message);
 }
 
-// --- the next view
-// --------------------------------------------------------------------------------------------
+// --- The next view ---
 
 void Replica::propose_next_view() {
   if (!state_.may_vote() || !state_.is_member()) return;
@@ -283,17 +282,19 @@
   successor_request_.reset();
   for (auto& member : decided.members) peers_.add_host(host_of(member.id));
   for (auto& voter : decided.voters) peers_.add_host(host_of(voter));
-  // The head's state is the state of the new view; all others take what they lack from their predecessor.
-  const View::Member* own = decided.find(state_.self);
-  const bool leads = own && state_.is_head() && state_.synced_view >= own->joined;
-  if (leads) state_.synced_view = decided.number;
-  if (leads && decided.term == decided.number)
+  // The state of the new view is the head's state; each other member obtains what it lacks from its
+  // predecessor.
+  const View::Member* own_entry = decided.find(state_.self);
+  const bool is_synced_head = own_entry && state_.is_head() && state_.synced_view >= own_entry->joined;
+  if (is_synced_head) state_.synced_view = decided.number;
+  if (is_synced_head && decided.term == decided.number)
     state_.history.record(decided.term, state_.table.last_sequence() + 1);
   if (!state_.save().is_ok()) return;
   log_view(decided, join(removed));
-  const bool led = former.head() == state_.self;
-  if (!own || (led && !leads)) submissions_.clear_in_flight();  // it may never be committed
-  if (leads) return on_in_sync();
+  const bool was_head = former.head() == state_.self;
+  // Changes in flight may never be committed if this replica left the view or lost the head's place.
+  if (!own_entry || (was_head && !is_synced_head)) submissions_.clear_in_flight();
+  if (is_synced_head) return on_in_sync();
   receiver_.request_state(now_, committed());
   send_heartbeat();
 }
@@ -305,17 +306,17 @@
   environment_.log_event(event);
 }
 
-// --- the chain
-// ------------------------------------------------------------------------------------------------
+// --- The chain ---
 
 void Replica::handle(const ReplicaId& from, const Append& append) {
   if (!state_.is_participating() || append.view != state_.view.number) return;
   const bool member = state_.is_member();
-  // The predecessor speaks by itself; anyone else only in answer to the last request.
-  const bool is_answer = receiver_.is_reply_to_last_request(append.in_reply_to);
-  if (member ? state_.view.predecessor(state_.self) != from : !is_answer) return;
+  // The predecessor sends Append messages unasked; from any other replica only a reply to the last request is
+  // taken.
+  const bool is_reply = receiver_.is_reply_to_last_request(append.in_reply_to);
+  if (member ? state_.view.predecessor(state_.self) != from : !is_reply) return;
   if (!chain_.can_store(append)) {
-    if (is_answer) return;
+    if (is_reply) return;
     receiver_.request_at_next_call();
     return receiver_.request_state(now_, committed());
   }
@@ -323,7 +324,7 @@
   const bool is_new = append.last_sequence > state_.table.last_sequence();
   if (!chain_.store(append).is_ok()) return;
   if (!member) {
-    if (receiver_.mark_caught_up()) send_heartbeat();  // it may be let in
+    if (receiver_.mark_caught_up()) send_heartbeat();  // reports that this standby can become a member
     return;
   }
   if (joining) submissions_.clear_in_flight();
@@ -335,7 +336,7 @@
     chain_.forward(now_);
 }
 
-// This member has come to hold the view's state.
+// Called when this member has come to hold the state of the view.
 void Replica::on_in_sync() {
   chain_.record_progress(now_);
   if (state_.is_tail())
@@ -354,14 +355,13 @@
 }
 
 void Replica::commit_up_to(SequenceNumber sequence) {
-  const bool rose = chain_.commit(now_, sequence);
+  const bool advanced = chain_.commit(now_, sequence);
   answer_submissions();
-  if (rose) environment_.on_committed();
+  if (advanced) environment_.on_committed();
   process_queued_submissions();
 }
 
-// --- state transfer
-// -------------------------------------------------------------------------------------------
+// --- State transfer ---
 
 void Replica::handle(const ReplicaId& from, const StateQuery& query) {
   if (query.view != state_.view.number || state_.view.predecessor(state_.self) != from) return;
@@ -385,13 +385,14 @@
 
 void Replica::on_successor_in_sync(const ReplicaId& from, const StateRequest& request) {
   if (request.last_sequence > state_.table.last_sequence()) {
-    // It was sent more than is held here: this disk has gone back. What it holds is no state of the view.
+    // The successor holds rows that this replica does not: this disk was restored to an older copy, so its
+    // rows are not the state of the view.
     environment_.log_event("disk lost rows that were sent on: takes the state anew, id=" + state_.self);
     state_.synced_view = 0;
-    (void)state_.save();  // refused: on_disk_refused() has been called
+    (void)state_.save();  // if refused, on_disk_refused() has been called
     return;
   }
-  // What it holds in the present view is a part of what is held here.
+  // The successor's rows are a prefix of this replica's rows.
   peers_.at(from).synced_view = state_.view.number;
   chain_.on_successor_position(now_, request.last_sequence);
   commit_up_to(request.committed);
@@ -433,11 +434,10 @@
   state_.table.compact(sequence);
   WriteBatch batch;
   batch.compact_to = sequence;
-  (void)state_.save(std::move(batch));  // refused: on_disk_refused() has been called
+  (void)state_.save(std::move(batch));  // if refused, on_disk_refused() has been called
 }
 
-// --- submissions and reads
-// ------------------------------------------------------------------------------------
+// --- Submissions and reads ---
 
 void Replica::submit(Instant now, Json command, SubmitCallback done) {
   now_ = now;
@@ -449,8 +449,8 @@
   requests_.read(now, state_.view, key, std::move(done));
 }
 
-// A submission names the view it was meant for: one that was long on its way, from before another head may
-// have refused it, is not taken.
+// A submission names the view that its sender knew. A delayed one from a former view is not taken: another
+// head may have refused the same request since.
 void Replica::handle(const ReplicaId& from, const SubmitRequest& request) {
   if (request.view < state_.view.number) return send(from, Decision{state_.view});
   if (request.view > state_.view.number || !state_.is_head() || !holds_lease(now_)) return;
@@ -461,11 +461,12 @@
 void Replica::process_queued_submissions() {
   if (!submissions_.has_queued() || committed() < state_.table.last_sequence()) return;
   const auto queued = submissions_.take_queued();
-  if (!state_.is_head() || !holds_lease(now_)) return;  // they are offered again, here or elsewhere
+  // The submitters send them again, here or to the new head.
+  if (!state_.is_head() || !holds_lease(now_)) return;
   WriteBatch batch;
   for (auto& submission : queued)
     if (now_ < submission.received_at + kSubmitTimeoutMs)
-      validate_submission(submission, batch);  // else nobody waits for it any more
+      validate_submission(submission, batch);  // else the submitter has stopped waiting
   if (batch.rows.empty()) return answer_submissions();
   if (!state_.save(std::move(batch)).is_ok()) return;
   if (state_.is_tail()) return commit_up_to(state_.table.last_sequence());
--- a/src/replication/replica.h
+++ b/src/replication/replica.h
@@ -1,11 +1,11 @@
-// One replica of the control state: chain replication among the members of a view, and the agreement on the
-// next view among its voters. No I/O: time, randomness, messages and storage are handed in, so that tests run
-// this very code on a simulated network.
+// One replica of the control state: chain replication among the members of a view, and agreement on the next
+// view among its voters. The class does no I/O: time, randomness, messages and storage are passed in, so that
+// tests run the same code on a simulated network.
 //
-// The parts, each with its own state, and what each promises, are in their own headers: LocalState (on the
-// disk), PeerTable (liveness), ViewLease, ViewPlanner, ViewChange, Chain, StateSender and StateReceiver
-// (state transfer), SubmissionQueue, PendingRequests. This class joins them: it hands each message to the
-// part that it is for, and carries out what follows for the others. All calls come from one event loop.
+// Each component has its own state, and its header states its contract: LocalState (durable state), PeerTable
+// (liveness), ViewLease, ViewPlanner, ViewChange, Chain, StateSender and StateReceiver (state transfer),
+// SubmissionQueue, PendingRequests. Replica dispatches each message to its component and passes the
+// consequences on to the others. All calls must come from one event loop.
 #pragma once
 #include <memory>
 #include <set>
@@ -21,86 +21,92 @@
 
 namespace pebblespindle::replication {
 
-// Bytes of a state that go to another replica in one message: heartbeats and updates pass in between.
+// Bytes of a state that are sent to another replica in one message; small enough that heartbeats and changes
+// are not held up behind it.
 constexpr std::size_t kStateChunkBytes = 65536;
 
 struct ReplicaOptions {
   std::string host;
-  std::vector<std::string> seeds;  // hosts
-  bool bootstrap = false;          // the very first start of the whole system
+  std::vector<std::string> seeds;  // hosts to contact first; with `bootstrap` also the first members
+  bool bootstrap = false;          // this is the first start of the whole system
   std::size_t tolerated_losses = 1;
-  std::uint64_t incarnation = 0;  // drawn anew for each start of the process
+  std::uint64_t incarnation = 0;  // a random number, drawn at each start of the process
   std::size_t chunk_bytes = kStateChunkBytes;
 };
 
 class Replica : private Outbox {
  public:
-  // storage and environment outlive the replica.
+  // storage and environment must outlive the replica.
   Replica(const ReplicaOptions& options, Storage& storage, Environment& environment, Instant now);
 
-  // --- driven by the process
-  // --------------------------------------------------------------------------------
-  void tick(Instant now);  // several times a heartbeat
+  // --- Driven by the process ---
+
+  void tick(Instant now);  // to be called several times per kHeartbeatMs
   void receive(Instant now, const ReplicaId& from, const Message& message);
-  // A link to another replica has come up: it hears of this one at once.
+  // Called when a link to another replica is established: the next tick sends a heartbeat and, if this
+  // replica lacks state, a StateRequest.
   void on_link_established();
   void add_host(const std::string& host) { peers_.add_host(host); }
 
-  // --- for the callers of this process
-  // ---------------------------------------------------------------------- done is called once, perhaps
-  // before submit() returns.
+  // --- For the callers of this process ---
+
+  // Submits a command to the chain. done is called exactly once, possibly before submit() returns.
   void submit(Instant now, Json command, SubmitCallback done);
-  // The committed value of a key, read at the tail.
+  // Reads the committed value of a key at the tail.
   void read(Instant now, const std::string& key, ReadCallback done);
 
-  // --- graceful shutdown
-  // ------------------------------------------------------------------------------------ Wants to end: goes
-  // on as before, and asks for its vote to be given to a standby.
+  // --- Graceful shutdown ---
+
+  // Announces that this replica is going to exit. It goes on as before and asks for its vote to be given to a
+  // standby.
   void begin_leaving(Instant now);
   bool is_leaving() const { return leaving_; }
-  // It has handed over, or nobody is there to hand over to.
+  // Whether this replica has handed over its vote, or there is no standby to hand it to.
   bool may_exit(Instant now) const;
-  // Takes no further part: the process is about to end. The others need not wait for its leases.
+  // Ends all participation, as the process is about to exit, and gives its leases back, so that the others
+  // need not wait for them to expire.
   void stop(Instant now);
 
-  // Forgets tombstones that nobody asks for any more. acknowledged: by all nodes with a lease here.
+  // Removes tombstones that are older than kCompactAfterMs. acknowledged: the sequence number up to which all
+  // nodes with a lease from this controller have acknowledged the changes; tombstones above it stay.
   void compact(Instant now, SequenceNumber acknowledged);
 
-  // --- what it knows
-  // ----------------------------------------------------------------------------------------
+  // --- State of the replica ---
+
   const ReplicaId& self() const { return state_.self; }
   const View& view() const { return state_.view; }
   const StateTable& state() const { return state_.table; }
   SequenceNumber committed() const { return chain_.committed(); }
-  // A member that holds the state of the view, all of it committed.
+  // Whether this replica is a member that holds the state of the view, and all of it is committed.
   bool all_committed() const { return chain_.all_committed(); }
-  // A majority of the voters has granted this member its place, for `guard` longer at least.
+  // Whether a majority of the voters has granted this member a lease that lasts for at least `guard` longer.
   bool holds_lease(Instant now, Millis guard = 0) const { return lease_.is_held(now, guard); }
-  // The head, and may act as the only one.
+  // Whether this replica is the head and its lease guarantees that no other replica acts as head.
   bool is_leader(Instant now) const;
-  // What it holds may be handed out: all of it is committed, and no newer view can be at work.
+  // Whether this replica may serve its state: all of it is committed, and its lease guarantees that no newer
+  // view is in effect.
   bool may_serve(Instant now) const { return all_committed() && holds_lease(now); }
-  // A majority of the voters stands at this very view: what it says of the view is of today.
+  // Whether a majority of the voters has recently reported this replica's view, so that the view is current.
   bool hears_majority(Instant now) const;
   bool in_sync() const { return state_.in_sync(); }
   bool is_peer_in_sync(const ReplicaId& peer) const { return planner_.is_peer_in_sync(peer); }
   bool is_tail() const { return state_.is_tail(); }
   bool disk_failed() const { return state_.disk_failed(); }
   bool has_all_voters() const { return planner_.has_all_voters(); }
-  const std::set<std::string>& hosts() const { return peers_.hosts(); }  // of others, worth a link
+  // The hosts of the peers, to which the process should keep links.
+  const std::set<std::string>& hosts() const { return peers_.hosts(); }
   bool is_receiving_state() const { return state_.transfer.has_value(); }
-  std::size_t received_row_count() const {
-    return state_.staged_table.size();
-  }  // of a state that is being received
-  // When a member was last left out of the view; the start of this process if none was.
+  // The number of rows received so far in the transfer under way.
+  std::size_t received_row_count() const { return state_.staged_table.size(); }
+  // When a member was last removed from the view; the start of this process if none was.
   Instant member_removed_at() const { return member_removed_at_; }
 
  private:
-  // Outbox
+  // Outbox:
   void send(const ReplicaId& to, const Message& message) override;
   void send_to_others(const Message& message) override;
 
-  // Messages, by type.
+  // Message handlers, one for each type.
   void handle(const ReplicaId&, const IgnoredMessage&) {}
   void handle(const ReplicaId& from, const Heartbeat& heartbeat);
   void handle(const ReplicaId& from, const LeaseGrant& grant);
@@ -137,7 +143,7 @@
   void validate_submission(const SubmissionQueue::Submission& submission, WriteBatch& batch);
 
   Environment& environment_;
-  Instant now_;  // of the call that is being carried out
+  Instant now_;  // the time of the call that is being handled
   bool leaving_ = false;
   LocalState state_;
   PeerTable peers_;
@@ -149,7 +155,8 @@
   StateReceiver receiver_;
   Chain chain_;
   PendingRequests requests_;
-  std::optional<StateRequest> successor_request_;  // came before this member was in sync
+  std::optional<StateRequest>
+      successor_request_;  // received before this member was in sync; handled once it is
   Instant next_heartbeat_at_ = 0, next_disk_attempt_at_ = 0;
   std::optional<Instant> without_lease_since_;
   Instant member_removed_at_;
@@ -157,7 +164,7 @@
     Instant at = 0;
     SequenceNumber sequence = 0;
   };
-  std::vector<CommitPoint> commit_points_;  // what was committed when; for compaction
+  std::vector<CommitPoint> commit_points_;  // past commit points with their times, for compact()
 };
 
 }  // namespace pebblespindle::replication
--- a/src/replication/state_receiver.cc
+++ b/src/replication/state_receiver.cc
@@ -6,7 +6,7 @@
 
 namespace pebblespindle::replication {
 
-// Empty when there is nobody to ask, or no need.
+// The replica to ask; empty if there is none, or if this replica needs no state.
 ReplicaId StateReceiver::source(Instant now) const {
   const View& view = state_.view;
   if (!state_.is_participating() || view.number == 0) return {};
--- a/src/replication/state_receiver.h
+++ b/src/replication/state_receiver.h
@@ -1,8 +1,9 @@
-// How a replica comes to hold the state of the view: it says what it holds, and is sent what it lacks.
+// The receiving side of state transfer: the replica reports what it holds and is sent what it lacks.
 //
-// A member asks its predecessor until it holds the state; a standby, which is no member, asks the tail, and
-// the others in turn where that is silent, and keeps up with the chain. A state in chunks is kept apart, also
-// on the disk, and takes the place of the rows only when it is complete; half a state is never used.
+// A member asks its predecessor until it holds the state of the view. A standby, which is not a member, asks
+// the tail (and the other members in turn while that is silent) and then keeps following the chain. A state
+// that comes in chunks is staged apart from the rows, also on disk, and replaces them only once it is
+// complete; a partial state is never used.
 #pragma once
 #include <optional>
 
@@ -16,16 +17,16 @@
   StateReceiver(LocalState& state, Outbox& outbox, RequestId initial_request_id)
       : state_(state), outbox_(outbox), last_request_id_(initial_request_id) {}
 
-  // Sends a request if one is due. committed: what this replica knows as committed.
+  // Sends a StateRequest if one is due. committed: the commit point that this replica knows.
   void request_state(Instant now, SequenceNumber committed);
-  // The next request is due at once.
+  // Makes the next call of request_state() send a request if this replica needs the state.
   void request_at_next_call() { requested_at_.reset(); }
   void on_new_view(Instant now);
   void on_state_loaded() { caught_up_view_ = 0; }
-  bool is_reply_to_last_request(std::optional<RequestId> answers) const {
-    return answers && *answers != 0 && *answers == last_request_id_;
+  bool is_reply_to_last_request(std::optional<RequestId> in_reply_to) const {
+    return in_reply_to && *in_reply_to != 0 && *in_reply_to == last_request_id_;
   }
-  // A standby holds the state as of the present view. True when that is new.
+  // Records that this standby holds the state as of the present view. Returns whether that is new.
   bool mark_caught_up();
   ViewNumber caught_up_view() const { return caught_up_view_; }
   bool is_caught_up() const { return caught_up_view_ == state_.view.number; }
@@ -33,12 +34,12 @@
   enum class ChunkOutcome {
     kIgnored,
     kMoreNeeded,  // the next request is due at once
-    kDropped,     // what was received is not a whole state
-    kComplete,    // and stored
-    kNotStored,   // the disk has refused it
+    kDropped,     // the received state was incomplete and has been discarded
+    kComplete,    // the state is complete and stored
+    kNotStored,   // the disk refused the write
   };
   ChunkOutcome on_chunk(const ReplicaId& from, StateChunk chunk);
-  // What was taken with the last complete transfer, for the log.
+  // The number of rows received in the last complete transfer, for the log.
   std::size_t received_row_count() const { return received_row_count_; }
 
  private:
--- a/src/replication/state_sender.cc
+++ b/src/replication/state_sender.cc
@@ -14,7 +14,8 @@
   return append;
 }
 
-// Whether the receiver's rows are a prefix of this history, and all that follows on them can be told.
+// Whether the receiver's rows are a prefix of this replica's history and no row after them has been compacted
+// away.
 bool StateSender::history_contains(const StateRequest& request) const {
   return request.last_sequence >= state_.table.compacted_to() &&
          request.last_sequence <= state_.table.last_sequence() &&
@@ -31,7 +32,8 @@
   return {std::move(append), true};
 }
 
-// A transfer that was begun with another source goes on here if that one's place is in this history.
+// A transfer that began with another source can continue here if that source's position is part of this
+// replica's history.
 bool StateSender::can_continue(const TransferProgress& progress, bool receiver_history_known) const {
   return progress.source_sequence <= state_.table.last_sequence() &&
          state_.history.matches(progress.source_sequence, progress.source_term) &&
@@ -58,7 +60,7 @@
     auto scan = state_.table.scan_by_key(progress.last_key, chunk_bytes_);
     if (!scan.rows.empty()) progress.last_key = scan.rows.back().key;
     progress.keys_scanned = scan.complete;
-    complete = scan.complete && progress.next_sequence > last;  // nothing has changed meanwhile
+    complete = scan.complete && progress.next_sequence > last;  // nothing has changed since the scan began
     chunk.rows = std::move(scan.rows);
   } else {
     auto scan = state_.table.scan_by_sequence({progress.next_sequence, progress.next_key}, chunk_bytes_);
--- a/src/replication/state_sender.h
+++ b/src/replication/state_sender.h
@@ -1,9 +1,10 @@
-// What a replica that has said where it stands is sent next: the rows that it lacks in one message where they
-// are few, else the next chunk of a state.
+// The sending side of state transfer: replies to a StateRequest with the rows that the requester lacks, in
+// one message if they fit, else with the next chunk of a state.
 //
-// A state goes in chunks of bounded size, each asked for once the one before is on the receiver's disk: first
-// all rows by key, then what has changed since by sequence number. It may be begun with one source and go on
-// with another, if the place where the first one stood is in the history of the second.
+// Chunks have a bounded size, and the receiver asks for each one after it has stored the one before. The
+// first chunks hold all rows by key, the later ones the rows that have changed since by sequence number. A
+// transfer that began with one source may continue with another one, if the second source's history contains
+// the position of the first.
 #pragma once
 #include <variant>
 
@@ -19,10 +20,10 @@
 
   struct Reply {
     Message message;
-    bool complete = false;  // the receiver stands where this replica stands once it has it
+    bool complete = false;  // with this message the receiver holds all that this replica holds
   };
   Reply reply_to(const StateRequest& request) const;
-  // All that follows on a sequence number, with the submissions that are under way above it.
+  // An Append of all rows after `base`, with the origins of the submissions in flight above it.
   Append append_after(SequenceNumber base, std::vector<Row> rows) const;
 
  private:
--- a/src/replication/submission_queue.h
+++ b/src/replication/submission_queue.h
@@ -1,8 +1,9 @@
-// Submissions at the replicas of the chain: what was offered to the head and waits, and what is under way and
-// will be answered once it is committed.
+// Submissions at a member of the chain: at the head those that wait to be validated, and at each member those
+// in flight, which are answered once they are committed.
 //
-// One batch is under way at a time: what is offered meanwhile shares the next sync and the next message.
-// Acknowledgements of changes come from the tail, refusals and "nothing changes" from the head.
+// The head has one batch in flight at a time; submissions that arrive meanwhile form the next batch, which
+// shares one disk sync and one message. The tail acknowledges changes; the head answers refusals and
+// submissions that change nothing.
 #pragma once
 #include <string>
 #include <vector>
@@ -25,23 +26,23 @@
     SubmitReply reply;
   };
 
-  // Adds an offer, unless the same one waits or is under way already.
+  // Queues a submission. If it is already queued or in flight, only its attempt number is raised.
   void enqueue(Submission submission);
   bool has_queued() const { return !queued_.empty(); }
   std::vector<Submission> take_queued();
 
-  // At the head: the offer became a change, changes nothing, or was refused. `sequence` is what the answer
-  // rests on.
+  // Called at the head once the submission is validated: it became a change, changes nothing, or was refused.
+  // The reply is sent once all rows up to `sequence` are committed.
   void add_change(const Submission& submission, SequenceNumber sequence);
   void add_unchanged(const Submission& submission, SequenceNumber sequence);
   void add_refusal(const Submission& submission, SequenceNumber sequence, Status status);
-  // Behind the head: the origins of changes that came with them.
+  // Called at the members behind the head with the origins that came with the rows.
   void add_origins(const std::vector<Origin>& origins);
   void clear_in_flight() { in_flight_.clear(); }
   bool has_in_flight() const { return !in_flight_.empty(); }
-  // Origins of changes under way above a sequence number.
+  // The origins of the submissions in flight above a sequence number, refused ones excepted.
   std::vector<Origin> origins_after(SequenceNumber sequence) const;
-  // Removes what is answered by a commit up to `committed`, and returns what this replica has to say of it.
+  // Removes all entries up to `committed` and returns the replies that this replica has to send for them.
   std::vector<Reply> take_replies(SequenceNumber committed, bool is_tail);
 
  private:
@@ -50,7 +51,7 @@
     Origin origin;
     Outcome outcome = Outcome::kChanged;
     Status status{};
-    std::uint64_t attempt = 0;  // that is answered
+    std::uint64_t attempt = 0;  // the attempt that is answered
   };
   std::vector<Submission> queued_;
   std::vector<InFlight> in_flight_;
--- a/src/replication/term_history.cc
+++ b/src/replication/term_history.cc
@@ -3,7 +3,7 @@
 namespace pebblespindle::replication {
 namespace {
 
-// Terms. A replica that is more changes of the head behind than this takes the whole state.
+// Number of terms kept. A replica whose last sequence number is in an older term is sent the whole state.
 constexpr std::size_t kMaxTerms = 64;
 
 }  // namespace
--- a/src/replication/timing.h
+++ b/src/replication/timing.h
@@ -4,33 +4,37 @@
 
 namespace pebblespindle::replication {
 
-// Replicas agree within a few heartbeats, at few bytes between zones.
+// Heartbeat interval: replicas agree on a view within a few heartbeats, while the traffic between zones stays
+// small.
 constexpr Millis kHeartbeatMs = 250;
-// Four missed heartbeats: a replica is suspected, still inside the page's ContactMs.
+// A replica is suspected after four missed heartbeats; the value stays below the ContactMs setting.
 constexpr Millis kPeerTimeoutMs = 1000;
-// A voter that is silent this long loses its vote to a newcomer, if there is one: inside ContactMs.
+// A voter that is silent for this long loses its vote to a standby, if there is one; below the ContactMs
+// setting.
 constexpr Millis kVoterReplacementMs = 2500;
-// Ends as a silent replica is suspected, so that the wait for its end costs nothing.
+// Just below kPeerTimeoutMs: a silent replica's lease has ended by the time it is suspected, so removing it
+// needs no further wait.
 constexpr Millis kViewLeaseMs = 950;
 // The leader stops acting this long before its lease ends.
 constexpr Millis kLeaderGuardMs = 250;
-// A few round trips and syncs between zones; then a proposal is made anew.
+// Enough for a few round trips and disk syncs between zones; after that a new proposal is made.
 constexpr Millis kProposalRetryMs = 300;
-// A returning replica is heard for two heartbeats before it joins.
+// A returning replica must be heard for more than two heartbeats before it joins.
 constexpr Millis kJoinStableMs = 600;
-// A member without the view's state asks for it again after some round trips.
+// A few round trips: a member without the view's state asks for it again after this time.
 constexpr Millis kStateRequestMs = 100;
-// A standby keeps up with the chain at few bytes, a second behind.
+// A standby follows the chain up to a second behind, which keeps its traffic small.
 constexpr Millis kStandbyRequestMs = 1000;
-// A request that is unanswered this long is sent again.
+// A submission or read that is unanswered for this long is sent again.
 constexpr Millis kSubmitRetryMs = 300;
-// Callers count a second of silence as a failure.
+// Below the second of silence that callers count as a failure.
 constexpr Millis kSubmitTimeoutMs = 900;
-// Pause between attempts on a disk that refused a write.
+// Interval between attempts to write to a disk that refused a write.
 constexpr Millis kDiskRetryMs = 300;
-// Tombstones are kept this long: no call of a database lives longer, nor does a node's break.
+// Tombstones are kept for at least this long: no database call lives longer, and no node is disconnected for
+// longer.
 constexpr Millis kCompactAfterMs = 600000;
-// How often tombstones are looked through.
+// Interval of compaction.
 constexpr Millis kCompactIntervalMs = 60000;
 
 }  // namespace pebblespindle::replication
--- a/src/replication/view.cc
+++ b/src/replication/view.cc
@@ -28,7 +28,7 @@
 bool View::is_valid_successor_of(const View& former) const {
   if (number != former.number + 1 || members.size() < former.majority()) return false;
   if (term != (head() == former.head() ? former.term : number)) return false;
-  std::size_t next = 0;  // the members kept stand in their order, then those that join
+  std::size_t next = 0;  // members that stay come first, in their former order, then new ones
   for (auto& member : members) {
     if (former.has_member(member.id)) {
       while (next < former.members.size() && !(former.members[next] == member)) ++next;
--- a/src/replication/view_change.cc
+++ b/src/replication/view_change.cc
@@ -7,7 +7,7 @@
 namespace pebblespindle::replication {
 namespace {
 
-// More than there are voters, so that no two ever use the same proposal number.
+// Greater than the number of voters: adding a voter's index makes its proposal numbers unique.
 constexpr ProposalNumber kProposalStep = 16;
 
 }  // namespace
@@ -22,7 +22,7 @@
 }
 
 void ViewChange::propose(Instant now, const View& next) {
-  // Members propose in chain order, so that two seldom do so at once.
+  // Members further down the chain wait longer, so that two rarely propose at the same time.
   auto own = std::find_if(next.members.begin(), next.members.end(),
                           [&](auto& member) { return member.id == state_.self; });
   const auto position = Millis(own - next.members.begin());
@@ -66,7 +66,8 @@
   outbox_.send(state_.self, accept);
 }
 
-// What was accepted under the highest number, which may be decided already; else this replica's own.
+// The view that was accepted under the highest proposal number, as it may be decided already; else this
+// replica's own proposal; none if that would lose committed changes.
 std::optional<View> ViewChange::value_to_propose() const {
   std::optional<View> value;
   ProposalNumber highest = 0;
@@ -77,12 +78,13 @@
     value = promise.accepted->view;
   }
   if (value) return value;
-  return head_held_state(proposal_) ? std::optional(proposal_) : std::nullopt;
+  return head_has_committed_state(proposal_) ? std::optional(proposal_) : std::nullopt;
 }
 
-// The head must hold all that the present view committed: it was in sync since it joined. A head without a
-// vote promises nothing; its heartbeats tell the same, and it was on its disk before.
-bool ViewChange::head_held_state(const View& next) const {
+// Whether the proposed head holds everything that the present view has committed, that is, whether it has
+// been in sync since it joined. A head without a vote sends no Promise; its heartbeats carry the same number,
+// which it stored on disk before sending.
+bool ViewChange::head_has_committed_state(const View& next) const {
   const View::Member& head = next.members.front();
   ViewNumber synced = 0;
   if (auto promise = promises_.find(head.id); promise != promises_.end())
--- a/src/replication/view_change.h
+++ b/src/replication/view_change.h
@@ -1,10 +1,9 @@
-// The agreement on the next view: single-decree Paxos for each view number, among the voters of the view
-// before.
+// Agreement on the next view: single-decree Paxos for each view number, among the voters of the view before.
 //
-// Prepare / Promise / Accept / Accepted / Decision as in Lamport's "Paxos Made Simple". What is promised and
-// accepted is on the disk before it is said. A view is proposed only over a head that held the state of the
-// present view since it joined, so that nothing committed is lost; and it is accepted only once the leases of
-// those that it leaves out have ended (ViewLease).
+// Prepare, Promise, Accept, Accepted and Decision are as in Lamport's "Paxos Made Simple". A voter stores
+// what it promises and accepts on disk before it replies. A view is proposed only if its head has held the
+// state of the present view since it joined, so that no committed change is lost. A voter accepts a view only
+// once the leases of the members that the view removes have expired (ViewLease).
 #pragma once
 #include <map>
 #include <optional>
@@ -22,7 +21,7 @@
   ViewChange(LocalState& state, const PeerTable& peers, ViewLease& lease, Outbox& outbox)
       : state_(state), peers_(peers), lease_(lease), outbox_(outbox) {}
 
-  // Proposes the view, unless the last proposal was made too short a time ago.
+  // Proposes the view, unless this replica made a proposal too recently (kProposalRetryMs).
   void propose(Instant now, const View& next);
   bool is_proposal_older_than(Instant now, Millis age) const {
     return !last_proposal_at_ || *last_proposal_at_ + age < now;
@@ -32,13 +31,14 @@
   void on_prepare(const ReplicaId& from, const Prepare& prepare);
   void on_promise(const ReplicaId& from, const Promise& promise);
   void on_accept(Instant now, const ReplicaId& from, const Accept& accept);
-  // The view that is decided by this, if it is; it has been told to the others then.
+  // Returns the view if this message completes the majority that decides it. The Decision has been sent to
+  // the other replicas by then.
   std::optional<View> on_accepted(const ReplicaId& from, const Accepted& accepted);
 
  private:
   ProposalNumber next_proposal_number(ViewNumber view) const;
   std::optional<View> value_to_propose() const;
-  bool head_held_state(const View& next) const;
+  bool head_has_committed_state(const View& next) const;
 
   LocalState& state_;
   const PeerTable& peers_;
@@ -48,7 +48,7 @@
   ProposalNumber proposal_number_ = 0;
   ViewNumber proposed_view_number_ = 0;
   View proposal_;
-  bool accepting_ = false;  // promises of a majority are here, and are asked to accept
+  bool accepting_ = false;  // a majority has promised, and Accept has been sent
   std::map<ReplicaId, Promise> promises_;
   std::set<ReplicaId> accepted_by_;
 };
--- a/tests/replication/replica_faults_test.cc
+++ b/tests/replication/replica_faults_test.cc
@@ -8,7 +8,7 @@
 namespace pebblespindle::test {
 namespace {
 
-// --- 1. twenty seconds cut off ---------------------------------------------------------------------------
+// --- 1. twenty seconds cut off ---
 
 void cut_days(std::uint32_t seed, bool twenty) {
   SCOPED_TRACE(seed);
@@ -248,7 +248,7 @@
   });
 }
 
-// --- 3. a second loss right after a repair ----------------------------------------------------------------
+// --- 3. a second loss right after a repair ---
 
 // Ends in order, as the process does: it hands over, steps out, and is gone 50 ms later. How long that took.
 Millis end_in_order(FaultyCluster& d, const std::string& one) {
