--- a/src/config/applied_changes.cc
+++ b/src/config/applied_changes.cc
@@ -16,7 +16,8 @@
   return kAppliedChangesPrefix + "/" + std::to_string(index % kAppliedChangesKept);
 }
 
-// Three numbers and the digest, with blanks between: a search reads some twenty rows.
+// A row holds three numbers and the digest, separated by spaces. The format is cheap to parse because a
+// search decodes about twenty rows.
 std::optional<AppliedChange> decode_change(const Row* row) {
   if (!row) return std::nullopt;
   AppliedChange change;
@@ -36,13 +37,13 @@
          std::to_string(change.revision) + " " + change.digest;
 }
 
-// A former version kept one row with the marks (length and FNV-1a) of the last 64 changes. It is read as long
-// as it is there: until the ring is full.
-constexpr std::size_t kFormerMarks = 64;
+// Earlier builds recorded the last 64 changes in a single row, as the length and the FNV-1a hash of each.
+// That legacy row is still read until the ring is full and the row is deleted.
+constexpr std::size_t kMaxLegacyHashes = 64;
 constexpr std::uint64_t kFnvOffset = 14695981039346656037ull;
 constexpr std::uint64_t kFnvPrime = 1099511628211ull;
 
-std::string former_mark_of(const ConfigurationChange& change) {
+std::string legacy_hash_of(const ConfigurationChange& change) {
   const std::string text = change.kind == ChangeKind::kPatch
                                ? "patch " + std::to_string(change.base_revision) + " " + change.body
                                : change.body;
@@ -51,10 +52,10 @@
   return std::to_string(text.size()) + "." + std::to_string(hash);
 }
 
-Json former_marks(const StateTable& state) {
+Json legacy_hashes(const StateTable& state) {
   const Row* row = state.find(kAppliedChangesPrefix);
-  Json marks = row ? Json::parse(row->value, nullptr, false) : Json();
-  return marks.is_array() ? marks : Json::array();
+  Json hashes = row ? Json::parse(row->value, nullptr, false) : Json();
+  return hashes.is_array() ? hashes : Json::array();
 }
 
 std::string to_hex(const XXH128_canonical_t& hash) {
@@ -71,27 +72,27 @@
   return newest && newest->index >= kAppliedChangesKept ? newest->index - kAppliedChangesKept + 1 : 0;
 }
 
-// What the former record says of a change that the ring does not hold.
-ChangeOutcome find_former_outcome(const StateTable& state, const ConfigurationChange& change,
+// Looks up a change that the ring does not hold in the legacy row.
+ChangeOutcome find_legacy_outcome(const StateTable& state, const ConfigurationChange& change,
                                   bool older_than_ring) {
-  const Json marks = former_marks(state);
-  const bool known =
-      !marks.empty() && std::find(marks.begin(), marks.end(), Json(former_mark_of(change))) != marks.end();
+  const Json hashes = legacy_hashes(state);
+  const bool known = !hashes.empty() &&
+                     std::find(hashes.begin(), hashes.end(), Json(legacy_hash_of(change))) != hashes.end();
   if (known) return ChangeOutcome::kApplied;
-  return older_than_ring && marks.size() >= kFormerMarks ? ChangeOutcome::kUnknown
-                                                         : ChangeOutcome::kNotApplied;
+  return older_than_ring && hashes.size() >= kMaxLegacyHashes ? ChangeOutcome::kUnknown
+                                                              : ChangeOutcome::kNotApplied;
 }
 
 }  // namespace
 
 std::string digest_of(const ConfigurationChange& change) {
-  const std::string head =
+  const std::string header =
       (change.kind == ChangeKind::kPatch ? "PATCH " : "PUT ") + std::to_string(change.base_revision) + "\n";
   XXH3_state_t state;
   XXH3_128bits_reset(&state);
-  XXH3_128bits_update(&state, head.data(), head.size());
+  XXH3_128bits_update(&state, header.data(), header.size());
   XXH3_128bits_update(&state, change.body.data(), change.body.size());
-  XXH128_canonical_t bytes;  // the same on every machine
+  XXH128_canonical_t bytes;  // the same byte order on every machine
   XXH128_canonicalFromHash(&bytes, XXH3_128bits_digest(&state));
   return to_hex(bytes);
 }
@@ -102,11 +103,12 @@
 }
 
 std::optional<AppliedChange> newest_applied_change(const StateTable& state) {
-  auto newest = decode_change(state.find(key_at(0)));  // where this round of the ring began
+  auto newest = decode_change(state.find(key_at(0)));  // the first row of the current pass over the ring
   if (!newest) return std::nullopt;
   const std::uint64_t begin = newest->index;
+  // Bisects for the last row of the current pass. The rows behind it belong to the previous pass.
   std::uint64_t known = 0;
-  std::uint64_t beyond = kAppliedChangesKept;  // of this round; what follows is of the round before
+  std::uint64_t beyond = kAppliedChangesKept;
   while (beyond - known > 1) {
     const std::uint64_t middle = (known + beyond) / 2;
     if (auto change = applied_change_at(state, begin + middle)) {
@@ -127,7 +129,7 @@
   while (low < high) {
     const std::uint64_t middle = (low + high) / 2;
     const auto applied = applied_change_at(state, middle);
-    if (!applied) return ChangeOutcome::kUnknown;  // a ring with a gap tells nothing
+    if (!applied) return ChangeOutcome::kUnknown;  // a row is missing or unreadable
     if (applied->base_revision == change.base_revision)
       return applied->digest == digest_of(change) ? ChangeOutcome::kApplied : ChangeOutcome::kNotApplied;
     if (applied->base_revision < change.base_revision)
@@ -137,7 +139,7 @@
   }
   const bool older_than_ring = low == oldest;
   if (older_than_ring && oldest > 0) return ChangeOutcome::kUnknown;
-  return find_former_outcome(state, change, older_than_ring);
+  return find_legacy_outcome(state, change, older_than_ring);
 }
 
 std::vector<Row> applied_change_rows(const StateTable& state, const ConfigurationChange& change,
@@ -146,7 +148,7 @@
   const std::uint64_t index = newest ? newest->index + 1 : 0;
   const std::string value = encode_change({index, change.base_revision, revision, digest_of(change)});
   std::vector<Row> rows{{key_at(index), value, 0, false}};
-  // The ring begins to forget: what is older than it goes first.
+  // The ring starts to overwrite its rows, so the older changes of the legacy row are dropped first.
   if (index >= kAppliedChangesKept && state.find(kAppliedChangesPrefix))
     rows.push_back({kAppliedChangesPrefix, {}, 0, true});
   return rows;
--- a/src/config/applied_changes.h
+++ b/src/config/applied_changes.h
@@ -1,9 +1,10 @@
-// Which changes of the configuration were applied: a ring of rows in the replicated state, the newest
-// kAppliedChangesKept. An operator whose answer was lost sends a change again, and is answered from here.
+// Record of the configuration changes that were applied: a ring buffer of rows in the replicated state that
+// holds the newest kAppliedChangesKept changes. An operator that got no answer to a change sends it again;
+// the record tells whether the change was applied the first time.
 //
-// Each version has one successor, so a row is found by the version that its change builds on; versions rise,
-// so the rows of the ring are in order and a search halves them. A new row takes the place of the oldest: one
-// row is written a change, and none is ever removed.
+// At most one change is applied on top of each revision, so a row is identified by its base revision.
+// Revisions only increase, so the rows of the ring are sorted and can be searched by bisection. A new row
+// overwrites the oldest one: each change writes one row, and rows of the ring are never deleted.
 #pragma once
 #include <optional>
 #include <string>
@@ -13,7 +14,7 @@
 
 namespace pebblespindle {
 
-// All keys that begin so are for the controllers alone.
+// Rows whose keys start with this prefix are kept by controllers only and never sent to nodes.
 inline const std::string kAppliedChangesPrefix = "t";
 
 enum class ChangeKind { kPut, kPatch };
@@ -21,34 +22,34 @@
 // A change as the operator sent it.
 struct ConfigurationChange {
   ChangeKind kind = ChangeKind::kPut;
-  std::uint64_t base_revision = 0;  // the version that it builds on
+  std::uint64_t base_revision = 0;  // the revision to which the change applies
   std::string body;
 };
-// Tells one change from every other.
+// Returns a hash of the kind, base revision and body that identifies the change.
 std::string digest_of(const ConfigurationChange& change);
 
-// One entry of the record.
+// One row of the record.
 struct AppliedChange {
-  std::uint64_t index = 0;  // counts the changes from 0
+  std::uint64_t index = 0;  // number of the change; the first one has 0
   std::uint64_t base_revision = 0, revision = 0;
   std::string digest;
   bool operator==(const AppliedChange&) const = default;
 };
 
-// None in a state that has no such rows yet.
+// Returns nullopt if the state has no rows of the record yet.
 std::optional<AppliedChange> newest_applied_change(const StateTable& state);
-// None when it is no longer kept.
+// Returns nullopt if the ring does not hold the change with this index.
 std::optional<AppliedChange> applied_change_at(const StateTable& state, std::uint64_t index);
 
 enum class ChangeOutcome {
   kApplied,
   kNotApplied,
-  kUnknown,  // older than what is on record: nothing can be said
+  kUnknown,  // older than the oldest recorded change, so the outcome cannot be determined
 };
-// What became of a change that builds on a version which is not the newest any more.
+// Returns the outcome of a change whose base revision is no longer the current one.
 ChangeOutcome find_outcome(const StateTable& state, const ConfigurationChange& change);
 
-// The rows to write with a change that is applied now.
+// Returns the rows to write to the record when the change is applied and produces `revision`.
 std::vector<Row> applied_change_rows(const StateTable& state, const ConfigurationChange& change,
                                      std::uint64_t revision);
 
--- a/src/config/cluster_state.cc
+++ b/src/config/cluster_state.cc
@@ -68,23 +68,23 @@
 }
 
 std::vector<Row> ClusterState::diff_to_snapshot(SequenceNumber sequence, std::vector<Row> snapshot) const {
-  std::set<std::string> named;
-  for (auto& row : snapshot) named.insert(row.key);
-  const auto delete_unless_named = [&](std::string key) {
-    if (!named.count(key)) snapshot.push_back({std::move(key), {}, sequence, true});
+  std::set<std::string> snapshot_keys;
+  for (auto& row : snapshot) snapshot_keys.insert(row.key);
+  const auto delete_unless_in_snapshot = [&](std::string key) {
+    if (!snapshot_keys.count(key)) snapshot.push_back({std::move(key), {}, sequence, true});
   };
-  for (auto& [key, route] : routes_) delete_unless_named(kRoutePrefix + key);
-  for (auto& [name, service] : configuration_.services) delete_unless_named(kServicePrefix + name);
-  for (auto& [name, tenant] : configuration_.tenants) delete_unless_named(kTenantPrefix + name);
-  for (auto& [id, instance] : instances_) delete_unless_named(instance_key(id));
-  for (auto& [service, assignment] : primaries_) delete_unless_named(primary_key(service));
+  for (auto& [key, route] : routes_) delete_unless_in_snapshot(kRoutePrefix + key);
+  for (auto& [name, service] : configuration_.services) delete_unless_in_snapshot(kServicePrefix + name);
+  for (auto& [name, tenant] : configuration_.tenants) delete_unless_in_snapshot(kTenantPrefix + name);
+  for (auto& [id, instance] : instances_) delete_unless_in_snapshot(instance_key(id));
+  for (auto& [service, assignment] : primaries_) delete_unless_in_snapshot(primary_key(service));
   return snapshot;
 }
 
 bool ClusterState::update_from(const StateTable& table) {
   if (table.change_count() == table_changes_ && table.generation() == table_generation_) return false;
-  // The table's content was replaced, and its numbers may stand for other rows; or it no longer names all
-  // that was deleted.
+  // Starts over if the content of the table was replaced, since the same sequence number may then stand for
+  // other rows, or if the table no longer lists all deletions since the last update.
   if (table.generation() != table_generation_ || sequence_ < table.compacted_to()) {
     *this = ClusterState();
     table_generation_ = table.generation();
--- a/src/config/cluster_state.h
+++ b/src/config/cluster_state.h
@@ -1,5 +1,6 @@
-// The replicated state read into types, and kept up as rows change: the configuration, the databases, and the
-// primaries of the services. Controllers follow their state table; nodes apply what they are fed.
+// The replicated state decoded into types and updated as rows change: the configuration, the registered
+// databases, and the primary of each service. Controllers update it from their state table; nodes apply the
+// updates that they receive from a controller.
 #pragma once
 #include <map>
 #include <memory>
@@ -14,27 +15,30 @@
 
 class ClusterState {
  public:
-  // Applies rows up to a sequence number; older ones are ignored. True when something changed.
+  // Applies the rows that bring the state up to `sequence`, and skips those that were applied before. Returns
+  // false if the state is already at `sequence` or beyond.
   bool apply(SequenceNumber sequence, const std::vector<Row>& rows);
-  // A whole state as the changes that lead to it from here: what it does not name is deleted.
+  // Returns the rows that turn this state into the snapshot: the snapshot's own rows, and a deletion for each
+  // key that is held here but missing from the snapshot.
   std::vector<Row> diff_to_snapshot(SequenceNumber sequence, std::vector<Row> snapshot) const;
-  // Brings this up to what a table holds. False, and cheap, while the table has not changed.
+  // Applies what has changed in the table since the last call. Returns false, at little cost, if nothing has.
   bool update_from(const StateTable& table);
 
   SequenceNumber sequence() const { return sequence_; }
   bool has_configuration() const { return configuration_.revision > 0; }
   const Configuration& configuration() const { return configuration_; }
-  // The route of the host whose prefix is the longest to begin the path; null when there is none.
+  // Returns the route of the host with the longest path prefix that matches, or null.
   std::shared_ptr<const Route> route(const std::string& host, std::string_view path = "/") const;
-  const Tenant* tenant_with_key(const std::string& key) const;  // null when none holds it
+  const Tenant* tenant_with_key(const std::string& key) const;  // null if no tenant has this key
   const std::map<InstanceId, Instance>& instances() const { return instances_; }
-  const Instance* instance(const InstanceId& id) const;  // null when it is not known
+  const Instance* instance(const InstanceId& id) const;  // null if not registered
   const std::vector<const Instance*>& instances_of(const std::string& service) const;
   const std::map<std::string, PrimaryAssignment>& primaries() const { return primaries_; }  // by service
-  const PrimaryAssignment* primary_of(const std::string& service) const;  // null before the first primary
-  // Controllers alone: what failovers remember.
+  const PrimaryAssignment* primary_of(
+      const std::string& service) const;  // null if no primary was ever assigned
+  // Held by controllers only; nodes do not receive these rows.
   const std::map<InstanceId, DepartedInstance>& departed_instances() const { return departed_; }
-  const FailoverRecord* failover_of(const std::string& service) const;  // null when there is no record
+  const FailoverRecord* failover_of(const std::string& service) const;  // null if there is no record
 
  private:
   void apply_row(const Row& row, bool& instances_changed);
@@ -43,7 +47,7 @@
   void index_tenant_keys();
 
   SequenceNumber sequence_ = 0;
-  std::uint64_t table_changes_ = 0, table_generation_ = 0;  // of the table that is followed
+  std::uint64_t table_changes_ = 0, table_generation_ = 0;  // of the table in the last update_from()
   Configuration configuration_;
   std::map<std::string, std::shared_ptr<const Route>> routes_;  // by key
   std::map<InstanceId, Instance> instances_;
--- a/src/config/command_validation.cc
+++ b/src/config/command_validation.cc
@@ -22,19 +22,19 @@
   return {std::move(key), {}, 0, true};
 }
 
-std::uint64_t current_version(const StateTable& state) {
+std::uint64_t current_revision(const StateTable& state) {
   Configuration head;
   if (const Row* stored = state.find(kConfigurationHeadKey))
     apply_configuration_row(head, stored->key, &stored->value, {});
   return head.revision;
 }
 
-Status version_conflict(std::uint64_t current) {
+Status revision_conflict(std::uint64_t current) {
   return Status::conflict("the version in place is " + std::to_string(current));
 }
 
-// One that was applied, and perhaps replaced since, is answered as applied: whoever sends it again has not
-// heard.
+// Validates a change whose base revision is no longer current. If the change itself was applied earlier, even
+// if other changes followed, the result is Ok: the sender has not received the first answer and tries again.
 ValidationResult validate_old_base(const StateTable& state, const ConfigurationChange& change,
                                    std::uint64_t current) {
   switch (find_outcome(state, change)) {
@@ -46,58 +46,59 @@
     case ChangeOutcome::kNotApplied:
       break;
   }
-  return refuse(version_conflict(current));
+  return refuse(revision_conflict(current));
 }
 
-// The rows that lead from the stored configuration to the next: nodes are told what has changed, whatever the
-// size of the whole.
-std::vector<Row> rows_of_change(const StateTable& state, const ConfigurationChange& change,
-                                const std::string& body, const Configuration& next) {
+// Returns the rows that replace the stored configuration by the next one. Only rows that differ are written,
+// so that the update sent to nodes is proportional to the change and not to the whole configuration.
+std::vector<Row> change_rows(const StateTable& state, const ConfigurationChange& change,
+                             const std::string& body, const Configuration& next) {
   auto rows = applied_change_rows(state, change, next.revision);
   rows.push_back(row(kConfigurationKey, body));
-  const auto parts = encode_configuration(next);
+  const auto next_rows = encode_configuration(next);
   for (auto& prefix : {kServicePrefix, kRoutePrefix, kTenantPrefix})
     state.for_each(prefix, [&](const Row& stored) {
-      if (!parts.count(stored.key)) rows.push_back(tombstone(stored.key));
+      if (!next_rows.count(stored.key)) rows.push_back(tombstone(stored.key));
     });
-  for (auto& [key, value] : parts) {
+  for (auto& [key, value] : next_rows) {
     const Row* stored = state.find(key);
     if (!stored || stored->value != value) rows.push_back(row(key, value));
   }
   return rows;
 }
 
-// body: the whole configuration that the change leads to.
+// Validates the configuration that results from a change; `body` is its complete text.
 ValidationResult validate_next(const StateTable& state, const ConfigurationChange& change,
                                const std::string& body, std::uint64_t current) {
   auto next = read_configuration(body);
   if (!next) return refuse(next.status());
   if (next->revision <= change.base_revision)
     return refuse(Status::invalid_argument("Revision is not above " + std::to_string(change.base_revision)));
-  // What it builds on may be on its way.
-  if (change.base_revision > current) return refuse(Status::unavailable(version_conflict(current).message()));
-  return {Status::ok(), rows_of_change(state, change, body, *next)};
+  // The base revision may have been committed without having reached this replica's state yet.
+  if (change.base_revision > current)
+    return refuse(Status::unavailable(revision_conflict(current).message()));
+  return {Status::ok(), change_rows(state, change, body, *next)};
 }
 
 ValidationResult validate(const StateTable& state, const PutConfiguration& command) {
   const Row* stored = state.find(kConfigurationKey);
   if (stored && stored->value == command.body) return {};
-  const std::uint64_t current = current_version(state);
+  const std::uint64_t current = current_revision(state);
   const ConfigurationChange change{ChangeKind::kPut, command.base_revision, command.body};
   if (command.base_revision < current) return validate_old_base(state, change, current);
   return validate_next(state, change, command.body, current);
 }
 
 ValidationResult validate(const StateTable& state, const PatchConfiguration& command) {
-  const std::uint64_t current = current_version(state);
+  const std::uint64_t current = current_revision(state);
   const ConfigurationChange change{ChangeKind::kPatch, command.base_revision, command.body};
   if (command.base_revision < current) return validate_old_base(state, change, current);
   if (command.base_revision > current) {
     if (Status valid = check_patch(command.body); !valid.is_ok()) return refuse(std::move(valid));
-    return refuse(Status::unavailable(version_conflict(current).message()));
+    return refuse(Status::unavailable(revision_conflict(current).message()));
   }
   const Row* stored = state.find(kConfigurationKey);
-  if (!stored) return refuse(version_conflict(current));
+  if (!stored) return refuse(revision_conflict(current));
   auto body = apply_patch(stored->value, command.body);
   if (!body) return refuse(body.status());
   return validate_next(state, change, *body, current);
@@ -109,10 +110,11 @@
   return assignment && assignment->primary == instance.id;
 }
 
-// A database is no longer registered: its row goes, and where the service has a primary it is remembered. One
-// that was leaving takes its log along. One that restarted is followed by its heir, which has the log: of
-// these only a primary is remembered, so that its heir is known.
-std::vector<Row> rows_of_departure(const StateTable& state, const Instance& former, const Instance* next) {
+// Returns the rows that deregister a database: its row is deleted and, if the service has a primary, the
+// database may have to be recorded as departed. A database that was draining takes its log along when it
+// ends, so it is recorded. One that restarted was replaced by `next`, which has the same log; it is recorded
+// only if it is the assigned primary, so that a failover can find its replacement.
+std::vector<Row> departure_rows(const StateTable& state, const Instance& former, const Instance* next) {
   std::vector<Row> rows{tombstone(instance_key(former.id))};
   if (!state.find(primary_key(former.service))) return rows;
   const bool restarted = next && next->service == former.service && !former.draining;
@@ -122,9 +124,9 @@
   return rows;
 }
 
-// The heir of a departed database has an heir itself.
-void add_rows_of_inheritance(const StateTable& state, const Instance& former, const Instance& next,
-                             std::vector<Row>& rows) {
+// Updates the departed databases whose replacement was `former`, which has itself been replaced by `next`.
+void add_replacement_rows(const StateTable& state, const Instance& former, const Instance& next,
+                          std::vector<Row>& rows) {
   state.for_each(kDepartedPrefix, [&](const Row& stored) {
     auto departed = decode_departed({stored.key.substr(kDepartedPrefix.size())}, stored.value);
     if (!departed || departed->replacement != former.id || next.service != former.service) return;
@@ -133,16 +135,17 @@
   });
 }
 
-// An address has one database at a time: whoever was there before has ended, and came back under a new name.
-std::vector<Row> rows_of_former_instances(const StateTable& state, const Instance& next) {
+// Deregisters the databases that were registered at the address of `next`. An address belongs to one database
+// at a time, so an earlier one has ended and restarted with a new id.
+std::vector<Row> replaced_instance_rows(const StateTable& state, const Instance& next) {
   std::vector<Row> rows;
   const std::string quoted_address = "\"" + next.address.text() + "\"";
   state.for_each(kInstancePrefix, [&](const Row& stored) {
-    if (stored.value.find(quoted_address) == std::string::npos) return;  // decoding every row would cost more
+    if (stored.value.find(quoted_address) == std::string::npos) return;  // cheaper than decoding every row
     auto other = decode_instance({stored.key.substr(kInstancePrefix.size())}, stored.value);
     if (!other || other->address != next.address) return;
-    for (auto& departure : rows_of_departure(state, *other, &next)) rows.push_back(std::move(departure));
-    add_rows_of_inheritance(state, *other, next, rows);
+    for (auto& departure : departure_rows(state, *other, &next)) rows.push_back(std::move(departure));
+    add_replacement_rows(state, *other, next, rows);
   });
   return rows;
 }
@@ -152,7 +155,7 @@
   if (!next) return refuse(Status::invalid_argument("not an instance"));
   const std::string key = instance_key(command.id);
   const Row* stored = state.find_including_deleted(key);
-  if (stored && stored->deleted) return {};  // it has left; a late call changes nothing
+  if (stored && stored->deleted) return {};  // already deregistered; the heartbeat was delayed
   if (stored) {
     auto known = decode_instance(command.id, stored->value);
     if (known && (next->call_count <= known->call_count || next->equals_ignoring_call_count(*known)))
@@ -160,8 +163,9 @@
   }
   ValidationResult result{Status::ok(), {row(key, command.value)}};
   if (!stored)
-    for (auto& former : rows_of_former_instances(state, *next)) result.rows.push_back(std::move(former));
-  // The first primary that names itself leads its service; after that only a failover changes that.
+    for (auto& former : replaced_instance_rows(state, *next)) result.rows.push_back(std::move(former));
+  // The first database that registers as primary is assigned to its service. Afterwards only a failover
+  // changes the assignment.
   const std::string assignment = primary_key(next->service);
   if (next->primary && !state.find(assignment))
     result.rows.push_back(row(assignment, encode_primary({command.id, false, false, 0, false})));
@@ -180,7 +184,7 @@
   if (!stored) return {};
   const auto known = decode_instance(command.id, stored->value);
   if (!known) return {Status::ok(), {tombstone(key)}};
-  return {Status::ok(), rows_of_departure(state, *known, nullptr)};
+  return {Status::ok(), departure_rows(state, *known, nullptr)};
 }
 
 ValidationResult validate(const StateTable& state, const AssignPrimary& command) {
--- a/src/config/commands.h
+++ b/src/config/commands.h
@@ -1,4 +1,4 @@
-// The commands that change the replicated state, and their form in messages.
+// The commands that change the replicated state, and their JSON encoding.
 //
 // A controller submits the encoded command to its replica; the head of the chain decodes and validates it
 // (config/command_validation.h).
@@ -13,8 +13,8 @@
 namespace pebblespindle {
 
 struct PutConfiguration {
-  std::uint64_t base_revision = 0;  // the version that it builds on; 0 for the first
-  std::string body;                 // as the operator sent it
+  std::uint64_t base_revision = 0;  // the revision that it replaces; 0 for the first one
+  std::string body;                 // JSON, as the operator sent it
 };
 struct PatchConfiguration {
   std::uint64_t base_revision = 0;
@@ -24,28 +24,29 @@
   InstanceId id;
   std::string value;  // encode_instance()
 };
-// As builds send it that keep no record of databases that have left.
+// Sent by builds that do not record departed databases.
 struct RemoveInstance {
   InstanceId id;
 };
-// A database has announced its end: it is no longer registered, and is remembered as departed where its log
-// counts.
+// A database has announced its shutdown. It is deregistered and, if its service has a primary, recorded as
+// departed, because its log may hold commits that no other database has.
 struct RetireInstance {
   InstanceId id;
 };
-// Only if the assignment still stands as expected.
+// Replaces the primary assignment of a service if it still equals `expected` (compare-and-swap).
 struct AssignPrimary {
   std::string service;
-  std::string expected;  // the row's value; empty: none yet
+  std::string expected;  // the current value of the row; empty if there is none
   std::string value;     // encode_primary()
 };
-// A step of a failover: assignment and record change together, only if both still stand as expected.
+// A step of a failover: replaces assignment and failover record in one change if both still equal the
+// expected values (compare-and-swap).
 struct UpdateFailover {
   std::string service;
   std::string expected_assignment, assignment;  // encode_primary()
-  std::string expected_record, record;          // encode_failover(); empty: none
+  std::string expected_record, record;          // encode_failover(); empty: no record
 };
-// The log of a database that has left is known to be covered by one that stays.
+// Removes the record of a departed database, once a registered database is known to have all of its log.
 struct ForgetDeparted {
   InstanceId id;
 };
@@ -53,10 +54,10 @@
                                   RetireInstance, AssignPrimary, UpdateFailover, ForgetDeparted>;
 
 Json encode(const StateCommand& command);
-// kInvalidArgument for what is no command, or one of an unknown kind.
+// Returns kInvalidArgument if the value is not a command or its kind is unknown.
 Result<StateCommand> decode_command(const Json& encoded);
 
-// The encoded forms, for callers that submit.
+// Shorthands that build and encode a command.
 Json put_configuration(std::uint64_t base_revision, const std::string& body);
 Json patch_configuration(std::uint64_t base_revision, const std::string& body);
 Json put_instance(const Instance& instance);
--- a/src/config/config_delivery.cc
+++ b/src/config/config_delivery.cc
@@ -7,18 +7,18 @@
 namespace pebblespindle {
 namespace {
 
-constexpr std::size_t kRowOverheadBytes = 16;  // bytes; what a row adds to key and value in a chunk, about
+constexpr std::size_t kRowOverheadBytes = 16;  // approximate size of a row's encoding beyond key and value
 
-// The body as sent and the record of applied changes are for controllers alone.
+// The configuration text and the rows with kAppliedChangesPrefix are held by controllers only.
 bool is_for_nodes(const Row& row) {
   return row.key != kConfigurationKey && !row.key.starts_with(kAppliedChangesPrefix);
 }
 
-std::vector<std::vector<Row>> divide(const std::vector<Row>& rows, bool whole_state) {
+std::vector<std::vector<Row>> split_into_chunks(const std::vector<Row>& rows, bool is_snapshot) {
   std::vector<std::vector<Row>> chunks(1);
   std::size_t size = 0;
   for (auto& row : rows) {
-    if (!is_for_nodes(row) || (whole_state && row.deleted)) continue;
+    if (!is_for_nodes(row) || (is_snapshot && row.deleted)) continue;
     if (size >= kUpdateChunkBytes) {
       chunks.emplace_back();
       size = 0;
@@ -33,43 +33,47 @@
 
 std::vector<std::string> encode_update_lines(SequenceNumber from, SequenceNumber to,
                                              const std::vector<Row>& rows) {
-  const bool whole_state = from == 0;
-  const auto chunks = divide(rows, whole_state);
+  const bool is_snapshot = from == 0;
+  const auto chunks = split_into_chunks(rows, is_snapshot);
   std::vector<std::string> lines;
   for (std::size_t i = 0; i < chunks.size(); ++i) {
     Json fields{{"t", "up"}, {"k", to}, {"r", encode_rows(chunks[i])}};
     if (chunks.size() > 1) fields["left"] = chunks.size() - 1 - i;
-    if (whole_state) fields["whole"] = true;  // it replaces what is held, wherever it has passed through
+    if (is_snapshot)
+      fields["whole"] = true;  // the receiver replaces its state, also if an agent relayed the line
     lines.push_back(fields.dump() + "\n");
   }
   return lines;
 }
 
 void ConfigDelivery::start(SequenceNumber held) {
-  sent_ = held;
+  sent_sequence_ = held;
   started_ = true;
-  feeding_ = nullptr;
+  pending_lines_ = nullptr;
 }
 
 void ConfigDelivery::send_pending(const StateTable& state, SequenceNumber committed, bool all_committed,
                                   SharedUpdate& shared, const Send& send) {
   for (;;) {
-    // The next chunk goes only as the node acknowledges: leases are not held up behind it.
-    while (feeding_ && next_ < feeding_->size() && next_ < acknowledged_ + kMaxUnacknowledgedChunks)
-      send((*feeding_)[next_++]);
-    if (feeding_ && feeding_->size() > 1 && acknowledged_ < feeding_->size()) return;
-    feeding_ = nullptr;
-    // Only committed states go out: between two changes of a row there is nothing to send.
-    if (!started_ || !all_committed || sent_ >= committed) return;
-    if (sent_ < state.compacted_to()) sent_ = 0;  // deletions are no longer known: it takes the whole state
-    if (shared.from != sent_ || shared.to != committed || shared.generation != state.generation()) {
-      auto lines = encode_update_lines(sent_, committed, state.rows_after(sent_));
-      shared = {sent_, committed, state.generation(),
+    // Limits the unacknowledged chunks, so that lease messages are not delayed behind a large update.
+    while (pending_lines_ && next_line_ < pending_lines_->size() &&
+           next_line_ < acknowledged_lines_ + kMaxUnacknowledgedChunks)
+      send((*pending_lines_)[next_line_++]);
+    if (pending_lines_ && pending_lines_->size() > 1 && acknowledged_lines_ < pending_lines_->size()) return;
+    pending_lines_ = nullptr;
+    // The table holds only the newest version of a row. While that version is uncommitted, there is no
+    // committed state that could be sent.
+    if (!started_ || !all_committed || sent_sequence_ >= committed) return;
+    if (sent_sequence_ < state.compacted_to())
+      sent_sequence_ = 0;  // the table no longer lists all deletions since then: send a snapshot
+    if (shared.from != sent_sequence_ || shared.to != committed || shared.generation != state.generation()) {
+      auto lines = encode_update_lines(sent_sequence_, committed, state.rows_after(sent_sequence_));
+      shared = {sent_sequence_, committed, state.generation(),
                 std::make_shared<const std::vector<std::string>>(std::move(lines))};
     }
-    sent_ = committed;
-    feeding_ = shared.lines;
-    next_ = acknowledged_ = 0;
+    sent_sequence_ = committed;
+    pending_lines_ = shared.lines;
+    next_line_ = acknowledged_lines_ = 0;
   }
 }
 
--- a/src/config/config_delivery.h
+++ b/src/config/config_delivery.h
@@ -1,5 +1,5 @@
-// What a controller feeds one node: committed state only, in chunks, the next as the node acknowledges them.
-// No I/O.
+// Sends state updates from a controller to one node: committed state only, divided into chunks, with flow
+// control by the node's acknowledgements. Does no I/O itself.
 #pragma once
 #include <functional>
 #include <memory>
@@ -10,8 +10,9 @@
 
 namespace pebblespindle {
 
-// The lines that bring a node from one sequence number to another: the rows that it needs, in chunks of
-// bounded size that count together, with the last. From 0 they are the whole state, and say so.
+// Encodes the rows that bring a node from one sequence number to another as lines, one per chunk of about
+// kUpdateChunkBytes. The node applies them together when it has the last chunk. With from == 0 the lines hold
+// a snapshot of the whole state and are marked as such.
 std::vector<std::string> encode_update_lines(SequenceNumber from, SequenceNumber to,
                                              const std::vector<Row>& rows);
 
@@ -19,27 +20,28 @@
  public:
   using Lines = std::shared_ptr<const std::vector<std::string>>;
   using Send = std::function<void(const std::string& line)>;
-  // What the last node was fed. Most stand at the same number, so what one is fed, the next is fed as well.
+  // The last encoded update, shared by all nodes of a controller: most nodes hold the state at the same
+  // sequence number, so that one encoding serves many of them.
   struct SharedUpdate {
     SequenceNumber from = 0, to = 0;
-    std::uint64_t generation = 0;  // of the state table
+    std::uint64_t generation = 0;  // of the state table from which it was encoded
     Lines lines;
   };
 
-  // The node has come, and holds the state up to `held`; 0: nothing.
+  // The node has connected and holds the state up to `held`; 0 means that it holds nothing.
   void start(SequenceNumber held);
   bool started() const { return started_; }
-  void on_chunk_acknowledged() { ++acknowledged_; }
-  // Sends what can go now. The state holds nothing but what is committed when all_committed says so; else
-  // nothing new is begun.
+  void on_chunk_acknowledged() { ++acknowledged_lines_; }
+  // Sends the chunks that flow control permits now. A new update is started only if all_committed is true,
+  // that is, if the state table holds no uncommitted rows.
   void send_pending(const StateTable& state, SequenceNumber committed, bool all_committed,
                     SharedUpdate& shared, const Send& send);
 
  private:
-  SequenceNumber sent_ = 0;  // up to which the node has been sent the state
+  SequenceNumber sent_sequence_ = 0;  // sequence number of the newest update that was started
   bool started_ = false;
-  Lines feeding_;  // under way; a few chunks ahead of what is acknowledged
-  std::size_t next_ = 0, acknowledged_ = 0;
+  Lines pending_lines_;                                 // the update being sent; null if none
+  std::size_t next_line_ = 0, acknowledged_lines_ = 0;  // indexes into pending_lines_
 };
 
 }  // namespace pebblespindle
--- a/src/config/configuration_reader.cc
+++ b/src/config/configuration_reader.cc
@@ -83,16 +83,16 @@
   return schema;
 }
 
-// A time of less than a millisecond is still a time: nothing is rounded down to none.
+// Rounds up, so that a time of less than a millisecond does not become 0.
 Millis millis(const Json& fields, const char* name, Millis fallback) {
   return fields.contains(name) ? Millis(std::ceil(fields[name].get<double>())) : fallback;
 }
 
-RouteType route_type(const std::string& word) {
-  if (word == "primary") return RouteType::kPrimary;
-  if (word == "bounded" || word == "bounded_staleness") return RouteType::kBounded;
-  if (word == "read_your_writes") return RouteType::kReadYourWrites;
-  return word == "idempotent" ? RouteType::kIdempotent : RouteType::kNonIdempotent;
+RouteType route_type(const std::string& name) {
+  if (name == "primary") return RouteType::kPrimary;
+  if (name == "bounded" || name == "bounded_staleness") return RouteType::kBounded;
+  if (name == "read_your_writes") return RouteType::kReadYourWrites;
+  return name == "idempotent" ? RouteType::kIdempotent : RouteType::kNonIdempotent;
 }
 
 std::string normalized_prefix(std::string prefix) {
@@ -185,7 +185,7 @@
   limits.max_body_bytes = fields.value("MaxBodyBytes", limits.max_body_bytes);
 }
 
-using OrderedJson = nlohmann::ordered_json;  // keeps the order in which the operator sent the items
+using OrderedJson = nlohmann::ordered_json;  // keeps the order of the operator's text
 
 OrderedJson::iterator find_named(OrderedJson& items, const std::string& name) {
   return std::find_if(items.begin(), items.end(), [&](auto& item) { return item.value("Name", "") == name; });
@@ -202,7 +202,7 @@
 
 void upsert_items(OrderedJson& configuration, const OrderedJson& upserted) {
   for (auto& [kind, items] : upserted.items()) {
-    if (!items.is_array()) {  // the limits, which have no names
+    if (!items.is_array()) {  // Limits, which is an object rather than a list of named items
       for (auto& [field, value] : items.items()) configuration[kind][field] = value;
       continue;
     }
--- a/src/config/configuration_reader.h
+++ b/src/config/configuration_reader.h
@@ -1,5 +1,4 @@
-// Reads and checks configurations and changes of them, as the operator sends them (the page's PUT and PATCH
-// /configuration).
+// Parses and validates configurations and patches, the bodies of PUT /configuration and PATCH /configuration.
 #pragma once
 #include <string>
 #include <string_view>
@@ -9,12 +8,13 @@
 
 namespace pebblespindle {
 
-// kInvalidArgument says in one line what is wrong.
+// Returns kInvalidArgument with a one-line description if the configuration is invalid.
 Result<Configuration> read_configuration(std::string_view text);
-// kInvalidArgument for a change of named items that no configuration could make valid.
+// Returns kInvalidArgument if the patch is malformed, whatever the configuration that it is applied to.
 Status check_patch(std::string_view patch);
-// The configuration that a change of named items makes of another one. What it leaves out stays; the order of
-// the items does too. kInvalidArgument as check_patch(); the result is still to be read and checked.
+// Applies a patch, which adds, replaces and removes items by name, to the JSON text of a configuration and
+// returns the new text. All other items stay as they are, in their order. Returns the errors of
+// check_patch(); the caller has to validate the result with read_configuration().
 Result<std::string> apply_patch(const std::string& configuration, std::string_view patch);
 
 }  // namespace pebblespindle
--- a/src/config/constants.h
+++ b/src/config/constants.h
@@ -1,5 +1,5 @@
-// Sizes of configuration delivery and of the record of applied changes. Each line above a constant says its
-// unit and the reason for its value.
+// Sizes used by configuration delivery and by the record of applied changes. The comment above each constant
+// gives its unit and the reason for its value.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -8,13 +8,13 @@
 
 namespace pebblespindle {
 
-// Bytes; 50 ms of a link of 2 Mbit/s: leases pass in between
+// Bytes. A chunk takes 50 ms on a link of 2 Mbit/s, and lease messages are sent between chunks.
 constexpr std::size_t kUpdateChunkBytes = 12288;
-// Pieces on their way to a node; the link does not idle between two
+// Chunks. With two of them in flight the link does not idle while an acknowledgement is on its way.
 constexpr std::size_t kMaxUnacknowledgedChunks = 2;
-// Changes on record; hours at 41,000 a day, a minute if each only waits for the one before it: longer
-// than anyone repeats an order. An older one is not refused but left unclear. It is the size of the
-// ring on the disk: another size needs another key
+// Changes. They cover hours at 41,000 changes a day, or one minute if changes are sent back to back, which is
+// longer than operators repeat a change. A change older than that gets kUnavailable instead of kConflict.
+// This is also the size of the ring in stored data: another size requires another key prefix.
 constexpr std::size_t kAppliedChangesKept = 4096;
 
 }  // namespace pebblespindle
--- a/src/config/failover_record.h
+++ b/src/config/failover_record.h
@@ -1,8 +1,8 @@
-// What failovers have to remember, as rows of the replicated state that controllers alone keep: one record
-// for each service whose primary is being replaced, or for which an earlier promote may still take effect,
-// and one row for each database that has left while its log may hold commits that no other database has.
+// The state of failovers, stored as rows of the replicated state that only controllers hold: one record for
+// each service whose primary is being replaced or for which an earlier promote call may still take effect,
+// and one row for each departed database whose log may hold commits that no other database has.
 //
-// Installations hold rows of this form.
+// Existing installations hold rows in this format, so it has to stay readable.
 #pragma once
 #include <optional>
 #include <string>
@@ -12,32 +12,33 @@
 
 namespace pebblespindle {
 
-// Both begin with kAppliedChangesPrefix, so that no build feeds them to nodes.
+// Both start with kAppliedChangesPrefix, so that older builds do not send these rows to nodes either.
 inline const std::string kDepartedPrefix = "td/", kFailoverPrefix = "tf/";
 
-// A call to the platform that is about to be made, or was made and may still take effect.
+// A promote call to the platform that is about to be made, or that was made and may still take effect.
 struct PromoteCall {
-  std::uint64_t number = 0;  // tells this call from all others of the service
+  std::uint64_t number = 0;  // unique among the calls of the service
   InstanceId successor;
-  std::uint64_t fencing_token = 0;  // the fencing token that it carries
-  std::uint64_t term = 0;           // the newest term known before it: whoever it promotes leads a higher one
+  std::uint64_t fencing_token = 0;  // sent with the call
+  std::uint64_t term =
+      0;  // the newest term known before the call; the promoted database leads in a higher one
   bool operator==(const PromoteCall&) const = default;
 };
 
 struct FailoverRecord {
-  std::string id;  // names the failover in the logs of all controllers; empty: there is no record
+  std::string id;  // identifies the failover in the logs of all controllers; empty: no record
   std::string reason;
-  std::uint64_t fencing_token = 0;     // of the holder that wrote it
-  std::vector<PromoteCall> calls;      // those that may still take effect
-  bool earlier_calls_unknown = false;  // a build that kept no records has begun this failover
+  std::uint64_t fencing_token = 0;     // of the controller that wrote the record
+  std::vector<PromoteCall> calls;      // that may still take effect
+  bool earlier_calls_unknown = false;  // the failover was started by a build without records
   bool operator==(const FailoverRecord&) const = default;
 };
 
 // A database that is no longer registered.
 struct DepartedInstance {
   Instance instance;
-  // The database that registered itself at the same address after this one: it goes on with the log. Empty:
-  // this one announced its end, serves on for a while, and then takes its log along.
+  // The database that registered at the same address afterwards and continues with the same log. Empty if
+  // this database announced its shutdown: it serves for a while longer, and its log is gone when it ends.
   InstanceId replacement;
 };
 
--- a/src/config/state_rows.cc
+++ b/src/config/state_rows.cc
@@ -7,7 +7,7 @@
 namespace pebblespindle {
 namespace {
 
-// A head with fewer fields was written before there were limits of headers and bodies.
+// Earlier builds, which had no limits for headers and bodies, wrote a head with fewer fields.
 constexpr std::size_t kHeadFields = 6;
 constexpr std::size_t kInstanceFields = 7;
 constexpr std::size_t kInstanceTextFields = 3;
@@ -46,7 +46,7 @@
   return route;
 }
 
-bool is_configuration_part(const std::string& key) {
+bool is_configuration_key(const std::string& key) {
   return key == kConfigurationHeadKey || key.starts_with(kServicePrefix) || key.starts_with(kRoutePrefix) ||
          key.starts_with(kTenantPrefix);
 }
@@ -69,24 +69,24 @@
 }
 
 std::map<std::string, std::string> encode_configuration(const Configuration& configuration) {
-  std::map<std::string, std::string> parts;
+  std::map<std::string, std::string> rows;
   const Limits& limits = configuration.limits;
-  parts[kConfigurationHeadKey] =
+  rows[kConfigurationHeadKey] =
       Json::array({configuration.revision, limits.transaction_idle_timeout_ms, limits.header_timeout_ms,
                    limits.idle_timeout_ms, limits.max_header_bytes, limits.max_body_bytes})
           .dump();
   for (auto& [name, service] : configuration.services)
-    parts[kServicePrefix + name] = Json::array({service.max_connections, service.sync_replicas}).dump();
-  for (auto& [key, route] : configuration.routes) parts[kRoutePrefix + key] = encode_route(route);
+    rows[kServicePrefix + name] = Json::array({service.max_connections, service.sync_replicas}).dump();
+  for (auto& [key, route] : configuration.routes) rows[kRoutePrefix + key] = encode_route(route);
   for (auto& [name, tenant] : configuration.tenants)
-    parts[kTenantPrefix + name] =
+    rows[kTenantPrefix + name] =
         Json::array({tenant.rate_per_s, tenant.burst, tenant.priority, tenant.keys}).dump();
-  return parts;
+  return rows;
 }
 
 bool apply_configuration_row(Configuration& configuration, const std::string& key, const std::string* value,
                              const RouteVisitor& visit_route) {
-  if (!is_configuration_part(key)) return false;
+  if (!is_configuration_key(key)) return false;
   const Json fields = value ? Json::parse(*value, nullptr, false) : Json();
   if (key.starts_with(kTenantPrefix)) {
     const std::string name = key.substr(kTenantPrefix.size());
@@ -119,7 +119,8 @@
   return true;
 }
 
-// A list, not an object: a node that starts is told of every database over a thin link.
+// Encoded as an array because it is smaller than an object: a node that starts receives every database over a
+// slow link.
 std::string encode_instance(const Instance& instance) {
   return Json::array({instance.service, instance.address.text(), instance.zone, instance.capacity,
                       int(instance.draining), int(instance.primary), instance.call_count})
--- a/src/config/state_rows.h
+++ b/src/config/state_rows.h
@@ -1,9 +1,9 @@
-// How configuration, databases and primaries stand in the replicated state: keys, and the form of the values.
-// Installations hold rows of this form.
+// Keys and value encoding of the rows that hold the configuration, the databases and the primaries in the
+// replicated state. Existing installations hold rows in this format, so it has to stay readable.
 //
-// A configuration stands there twice: as it was sent, which controllers alone keep, and in parts, of which
-// nodes are told what a change has changed: a head, and a row for each service, route and tenant. Beside it
-// stands the record of applied changes (config/applied_changes.h).
+// The configuration is stored twice: as the text that the operator sent, which only controllers hold, and as
+// one head row and one row for each service, route and tenant. Nodes receive only those of the latter that
+// a change has changed. config/applied_changes.h describes the rows of the record of applied changes.
 #pragma once
 #include <functional>
 #include <map>
@@ -22,13 +22,13 @@
 std::string instance_key(const InstanceId& id);
 std::string primary_key(const std::string& service);
 
-// The parts of a configuration: values by key.
+// Returns the rows of a configuration: values by key.
 std::map<std::string, std::string> encode_configuration(const Configuration& configuration);
 
-// A route that was added or changed; none: the route of that key was removed.
+// Called with a route that was added or changed, or with nullopt if the route with this key was removed.
 using RouteVisitor = std::function<void(const std::string& route_key, std::optional<Route>)>;
-// Enters a part into a configuration; routes are handed to the visitor. value: null when the row was deleted.
-// False, and nothing is changed, when the key is not that of a part.
+// Applies one row to a configuration, except that routes are passed to the visitor. `value` is null if the
+// row was deleted. Returns false and changes nothing if the key is not that of a configuration row.
 bool apply_configuration_row(Configuration& configuration, const std::string& key, const std::string* value,
                              const RouteVisitor& visit_route);
 
--- a/src/config/unambiguous_json.h
+++ b/src/config/unambiguous_json.h
@@ -1,5 +1,5 @@
-// JSON in which no object names a field twice: what one reader takes for the first of two fields, and another
-// for the last, nobody can rely on.
+// A JSON parser that rejects duplicate field names in an object: some readers take the first of the two
+// values, others the last, so the meaning of such text is ambiguous.
 #pragma once
 #include <string_view>
 
@@ -7,7 +7,7 @@
 
 namespace pebblespindle {
 
-// kInvalidArgument for text that is no JSON, or names a field twice.
+// Returns kInvalidArgument if the text is not JSON or an object has two fields of the same name.
 Result<Json> parse_unambiguous_json(std::string_view text);
 
 }  // namespace pebblespindle
--- a/src/health/constants.h
+++ b/src/health/constants.h
@@ -1,5 +1,5 @@
-// Windows and thresholds of health reports. Each line above a constant says its unit and the reason for its
-// value.
+// Windows and thresholds of health reports. The comment above each constant gives its unit and the reason for
+// its value.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -8,21 +8,23 @@
 
 namespace pebblespindle {
 
-// ms; a window of what a node met: hundreds of requests, few bytes
+// ms; the period that a node's report covers: hundreds of requests in a report of a few bytes
 constexpr Millis kHealthWindowMs = 2000;
-// ms; two windows and the way
+// ms; two windows and the transmission delay
 constexpr Millis kHealthReportTtlMs = 5000;
-// Requests; fewer say nothing of a window
+// Requests; a window with fewer is not significant and is not reported
 constexpr int kMinRequestsInReport = 8;
-// Failures of a zone's nodes; fewer are met on any day
+// Failures seen by all nodes of a zone; fewer occur in normal operation
 constexpr std::int64_t kMinFailures = 6;
-// Requests of a zone's nodes; enough that a share tells something
+// Requests of all nodes of a zone; from this number on a lower share of failures is significant
 constexpr std::int64_t kMinRequestsForShare = 40;
-// Requests or ms; more than a window can hold: not a report
+// Requests or ms; a report with a larger count is invalid, as a window cannot hold that much
 constexpr std::int64_t kMaxCountInWindow = 10'000'000;
-// Nodes of a zone that each met a failure; reads may go elsewhere on less than what is worth a line
+// Nodes of a zone that each saw a failure. Lower than the threshold for a log line, because sending reads
+// elsewhere costs little
 constexpr std::size_t kMinNodesForEjection = 3;
-// ms; a database that turned a connection away is spared this long: one refusal a minute tells
+// ms; how long a database that refused a connection gets no further ones: one refusal a minute is enough to
+// know that it is still at its limit
 constexpr Millis kConnectionLimitTtlMs = 60000;
 
 }  // namespace pebblespindle
--- a/src/health/outlier_detector.h
+++ b/src/health/outlier_detector.h
@@ -1,6 +1,7 @@
-// What the nodes of this controller meet: by database and zone, and by route and zone. Judged by results
-// alone, whatever health answers say: several nodes of a zone have to agree, for a single one may be at fault
-// itself. No I/O; time is handed in.
+// Detects failing databases from the request results that the nodes of this controller report, per database
+// and zone and per route and zone. Only results of requests count, not answers to health checks. Several
+// nodes of a zone have to agree, because a single node may be at fault itself. Does no I/O; callers pass the
+// time.
 #pragma once
 #include <functional>
 #include <map>
@@ -13,31 +14,32 @@
 
 class OutlierDetector {
  public:
-  // The nodes of a zone together find that a database fails; called again while they do.
+  // Called when the nodes of a zone together find that a database fails, and repeated while they do.
   using Eject = std::function<void(const std::string& database, const std::string& zone)>;
   explicit OutlierDetector(std::function<void(const std::string&)> log_event, Eject eject = {})
       : log_event_(std::move(log_event)), eject_(std::move(eject)) {}
 
-  // A node's report of what was out of the ordinary in its last window: {"d": [[database, asked, failed, ms,
-  // closed off], ...], "r": [[route, asked, refused, failed, late], ...]}. False, and nothing is entered:
-  // counts that cannot be.
+  // Records a node's report of the databases and routes that were conspicuous in its last window:
+  // {"d": [[database, requests, failed, mean ms, circuit open], ...],
+  //  "r": [[route, requests, refused, failed, late], ...]}.
+  // Returns false and records nothing if the report is malformed or a count is out of range.
   bool report(Instant now, const std::string& zone, const std::string& node, const Json& message);
   void expire(Instant now);
-  // For status: a row for each database, or route, and zone that reports it.
+  // For the status page: one row for each database (or route) and zone whose nodes have reported it.
   Json databases(Instant now) const;
   Json routes(Instant now) const;
 
  private:
   struct Counts {
-    std::int64_t asked = 0, failed = 0, late = 0, refused = 0, mean_ms = 0;
-    bool closed_off = false;  // the node sends it nothing
-    Instant at = 0;
+    std::int64_t requests = 0, failed = 0, late = 0, refused = 0, mean_ms = 0;
+    bool circuit_open = false;  // the node sends no requests to the database
+    Instant reported_at = 0;
   };
   struct Reports {
     std::map<std::string, Counts> by_node;
-    Instant since = 0;
-    bool logged = false;
-    std::optional<Instant> ejected_at;
+    Instant since = 0;                  // when the first of these reports arrived
+    bool logged = false;                // the database was logged as unhealthy
+    std::optional<Instant> ejected_at;  // time of the last call of Eject
   };
   struct Key {
     std::string name;  // of a database or a route
@@ -46,8 +48,8 @@
   };
   using Table = std::map<Key, Reports>;
   static Counts sum(const Reports& reports);
-  static Reports& enter(Table& table, const Key& key, const std::string& node, const Counts& counts);
-  void judge(Instant now, const Key& key, Reports& reports);
+  static Reports& record(Table& table, const Key& key, const std::string& node, const Counts& counts);
+  void evaluate(Instant now, const Key& key, Reports& reports);
   void expire(Instant now, Table& table);
 
   std::function<void(const std::string&)> log_event_;
--- a/src/membership/constants.h
+++ b/src/membership/constants.h
@@ -1,5 +1,5 @@
-// Leases of nodes, and ages of positions. Each line above a constant says its unit and the reason for its
-// value.
+// Times of node leases, and the maximum age of positions. The comment above each constant gives its unit and
+// the reason for its value.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -8,11 +8,11 @@
 
 namespace pebblespindle {
 
-// ms; three missed renewals; bounds a failover's wait for a dead node
+// ms; tolerates three missed renewals, and bounds the time that a failover waits for a dead node
 constexpr Millis kNodeLeaseMs = 1000;
-// ms; three tries within a lease
+// ms; leaves three attempts within a lease
 constexpr Millis kNodeRenewalMs = 300;
-// ms; no route allows older positions than this
+// ms; an older position is of no use, since no route allows this much staleness
 constexpr Millis kMaxPositionAgeMs = 10000;
 
 }  // namespace pebblespindle
--- a/src/membership/position_cache.h
+++ b/src/membership/position_cache.h
@@ -1,19 +1,20 @@
-// Positions of primaries that the nodes of this controller have met, for nodes that ask a service too seldom
-// to know one of their own.
+// Positions of primaries that the nodes of this controller have observed, for nodes that query a service too
+// rarely to have a recent position of their own.
 //
-// What is handed on is "every commit acknowledged before time T is at or below position P", and T may only
-// err towards the past. Clocks are never compared, only carried around a loop that starts and ends at one of
-// them:
-// - A node hears the controller's clock C with a grant, at its own time G. What it asked at its own time A
-// was
-//   asked at controller time C + (A - G) or later: that is what it reports.
-// - A node that wants a position sends its own time R. The controller answers with the age of what it has, by
+// An entry states: "every commit acknowledged before time T is at or below position P". T may be too early
+// but never too late. Clocks of different processes are never compared; times are only passed along a loop
+// that starts and ends at the same clock:
+// - The controller sends its time C with each lease grant, which the node receives at its own time G. A node
+// that
+//   queried the primary at its own time A did so at controller time C + (A - G) or later, and reports that
+//   time.
+// - A node that requests a position sends its own time R. The controller answers with the age of the entry by
 // its
-//   clock; R has passed by then, so the position was asked for at R - age or later by the clock of who wants
-//   it.
-// Delay, loss and reordering only make what is handed on older. Steady clocks run alike within the margin
-// that every read keeps (kFreshnessMarginMs). Time stamps die with the process that gave them: its
-// incarnation is named with each report.
+//   own clock. The answer is computed after R, so by the requesting node's clock the primary was queried at
+//   R - age or later.
+// Delayed, lost and reordered messages only make the reported time earlier. The margin that every read keeps
+// (kFreshnessMarginMs) covers differences in clock speed. Times become invalid when the controller that
+// issued them restarts, so each report names the incarnation of that process.
 #pragma once
 #include <map>
 #include <optional>
@@ -28,13 +29,14 @@
  public:
   struct Answer {
     Position position;
-    Millis age = 0;  // at most
+    Millis age = 0;  // ms, rounded up
   };
 
-  // asked_at: by this controller's clock, not later than the node asked the primary. kInvalidArgument for a
-  // report that cannot be true; one that is overtaken by another is ok and changes nothing.
+  // Records that the primary was queried at `asked_at` or later, by this controller's clock. Returns
+  // kInvalidArgument if the time is in the future or the position is empty. A report that is older than the
+  // entry changes nothing and is no error.
   Status report(Instant now, const std::string& service, const Position& position, Instant asked_at);
-  // None when nothing is known that is young enough for any route.
+  // Returns nullopt if there is no entry or it is older than kMaxPositionAgeMs.
   std::optional<Answer> find(Instant now, const std::string& service) const;
 
  private:
--- a/src/quota/bounded_counter.h
+++ b/src/quota/bounded_counter.h
@@ -1,7 +1,7 @@
 // One holder's part in the bounded counter of one tenant (Balegas et al., "Extending Eventually Consistent
-// Cloud Databases for Enforcing Numeric Invariants"): its own row of R, its entry of U, and its column of R.
-// Rights are counted in thousandths of an operation. Only the holder writes its row; what others gave is
-// merged by maximum, so that messages may be lost, repeated or overtake each other.
+// Cloud Databases for Enforcing Numeric Invariants"): its row of the matrix R of transferred rights, its
+// entry of the vector U of used rights, and its column of R. Only the holder writes its row. Totals received
+// from other holders are merged by maximum, so messages may be lost, repeated or reordered.
 #pragma once
 #include <algorithm>
 #include <cstdint>
@@ -10,51 +10,54 @@
 
 namespace pebblespindle::quota {
 
-using HolderId = std::string;  // of one life of one process: a row is never continued by another life
+using HolderId = std::string;  // identifies one run of one process; a restarted process uses another one
 using Rights = std::int64_t;   // thousandths of an operation
-constexpr Rights kRightsPerOperation = 1000;  // one operation
+constexpr Rights kRightsPerOperation = 1000;
 
 class BoundedCounter {
  public:
+  // The rights that are available here: credited and received, less those used and transferred.
   Rights rights() const {
     Rights sum = credited_ - used_;
-    for (auto& [from, received] : got_) sum += received;
-    for (auto& [to, given] : given_) sum -= given;
+    for (auto& [from, received] : received_) sum += received;
+    for (auto& [to, transferred] : transferred_) sum -= transferred;
     return sum;
   }
-  void credit(Rights amount) { credited_ += std::max<Rights>(0, amount); }  // R[i][i]
-  // U[i]; only when covered.
+  // Creates rights (R[i][i]).
+  void credit(Rights amount) { credited_ += std::max<Rights>(0, amount); }
+  // Uses rights (U[i]). Returns false and changes nothing if fewer are available.
   bool debit(Rights amount) {
     if (amount < 0 || rights() < amount) return false;
     used_ += amount;
     return true;
   }
-  // R[i][to], as it stands after giving; only what is covered is given.
+  // Transfers rights to another holder, or none if fewer are available. Returns the total that was ever
+  // transferred to it (R[i][to]).
   Rights transfer(const HolderId& to, Rights amount) {
-    Rights& sum = given_[to];
-    if (amount > 0 && rights() >= amount) sum += amount;
-    return sum;
+    Rights& total = transferred_[to];
+    if (amount > 0 && rights() >= amount) total += amount;
+    return total;
   }
   Rights transferred_to(const HolderId& to) const {
-    auto it = given_.find(to);
-    return it == given_.end() ? 0 : it->second;
+    auto it = transferred_.find(to);
+    return it == transferred_.end() ? 0 : it->second;
   }
-  // R[from][i] as its writer tells it. False: it cannot be.
-  bool merge_received(const HolderId& from, Rights sum) {
-    if (sum < 0) return false;
-    Rights& known = got_[from];
-    known = std::max(known, sum);
+  // Merges the total that another holder has transferred here (R[from][i]). Returns false if it is negative.
+  bool merge_received(const HolderId& from, Rights total) {
+    if (total < 0) return false;
+    Rights& known = received_[from];
+    known = std::max(known, total);
     return true;
   }
   Rights received_from(const HolderId& from) const {
-    auto it = got_.find(from);
-    return it == got_.end() ? 0 : it->second;
+    auto it = received_.find(from);
+    return it == received_.end() ? 0 : it->second;
   }
   Rights used() const { return used_; }
 
  private:
   Rights credited_ = 0, used_ = 0;
-  std::map<HolderId, Rights> given_, got_;
+  std::map<HolderId, Rights> transferred_, received_;  // totals by the other holder
 };
 
 }  // namespace pebblespindle::quota
--- a/src/quota/constants.h
+++ b/src/quota/constants.h
@@ -1,5 +1,5 @@
-// Periods and shares of the tenants' quotas. Each line above a constant says its unit and the reason for its
-// value.
+// Periods and shares of the tenants' quotas. The comment above each constant gives its unit and the reason
+// for its value.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -8,21 +8,22 @@
 
 namespace pebblespindle {
 
-// ms; how often cores tell each other what they hold
+// ms; interval at which controllers send their balances to each other
 constexpr Millis kQuotaSyncMs = 1000;
-// ms; many round trips: then it is asked again
+// ms; a request for rights is repeated after this time, which is many round trips
 constexpr Millis kQuotaRequestMs = 50;
-// ms; one that stood still longer credits no more than this
+// ms; a controller that was paused for longer credits no more than this interval
 constexpr std::int64_t kMaxCreditIntervalMs = 200;
-// Of the burst: what may pile up at the cores; the rest is with the nodes
+// Share of the burst that may accumulate at the controllers; the rest is held by the nodes
 constexpr double kStoredBurstShare = 0.6;
-// Operations; a core's share of the smallest allowance is worth asking for
+// Operations, added to each controller's share of the burst, so that a share of the smallest quota is still
+// worth requesting
 constexpr double kMinStoredOperations = 3;
-// Of a core's share: below it another core is asked
+// Share of a controller's capacity; below it the controller requests rights from another one
 constexpr double kRequestBelowShare = 0.1;
-// ms; what a node holds and does not use lapses
+// ms; rights that a node has not used by then expire
 constexpr Millis kRightsTtlMs = 1500;
-// S; of its own use that a node asks for at once
+// Seconds of its own recent use that a node requests at once
 constexpr double kRightsAheadS = 0.3;
 
 }  // namespace pebblespindle
--- a/src/quota/quota_allocator.cc
+++ b/src/quota/quota_allocator.cc
@@ -4,78 +4,83 @@
 
 namespace pebblespindle::quota {
 
-void QuotaAllocator::accrue(Millis now, const std::map<std::string, Tenant>& tenants, std::size_t cores) {
-  Millis since = last_ < 0 ? 0 : std::min<Millis>(now - last_, kMaxCreditIntervalMs);
-  last_ = now;
-  std::erase_if(stores_, [&](auto& s) { return !tenants.count(s.first); });
-  for (auto& [name, t] : tenants) {
-    if (t.rate_per_s <= 0 && t.burst <= 0) continue;  // no limit: nothing to count
-    Store& s = stores_[name];
-    if (cores == 0) continue;
-    // Rights that pile up never exceed this core's share of the burst, and a little for the smallest.
-    s.most = Rights(double(kRightsPerOperation) *
-                    (t.burst * kStoredBurstShare / double(cores) + kMinStoredOperations));
-    Rights more =
-        Rights(t.rate_per_s * double(since) / double(cores));  // operations a second are thousandths a ms
-    s.account.credit(std::min(more, std::max<Rights>(0, s.most - s.account.rights())));
+void QuotaAllocator::accrue(Millis now, const std::map<std::string, Tenant>& tenants,
+                            std::size_t controllers) {
+  Millis elapsed = accrued_at_ < 0 ? 0 : std::min<Millis>(now - accrued_at_, kMaxCreditIntervalMs);
+  accrued_at_ = now;
+  std::erase_if(accounts_, [&](auto& entry) { return !tenants.count(entry.first); });
+  for (auto& [name, tenant] : tenants) {
+    if (tenant.rate_per_s <= 0 && tenant.burst <= 0) continue;  // no limit: nothing to count
+    Account& account = accounts_[name];
+    if (controllers == 0) continue;
+    // Accumulated rights never exceed this controller's share of the burst, plus a minimum for small quotas.
+    account.capacity =
+        Rights(double(kRightsPerOperation) *
+               (tenant.burst * kStoredBurstShare / double(controllers) + kMinStoredOperations));
+    Rights accrued = Rights(tenant.rate_per_s * double(elapsed) /
+                            double(controllers));  // operations per s are thousandths of an operation per ms
+    account.counter.credit(
+        std::min(accrued, std::max<Rights>(0, account.capacity - account.counter.rights())));
   }
 }
 
-std::optional<Rights> QuotaAllocator::request(const std::string& tenant, const HolderId& who, Rights received,
-                                              Rights amount) {
-  auto it = stores_.find(tenant);
-  if (it == stores_.end() || amount < 0) return std::nullopt;
-  BoundedCounter& a = it->second.account;
+std::optional<Rights> QuotaAllocator::request(const std::string& tenant, const HolderId& requester,
+                                              Rights received, Rights amount) {
+  auto it = accounts_.find(tenant);
+  if (it == accounts_.end() || amount < 0) return std::nullopt;
+  BoundedCounter& counter = it->second.counter;
   it->second.in_use = true;
-  // One that has not heard of what it was given asks again: it is told, not given twice.
-  if (a.transferred_to(who) > received) return a.transferred_to(who);
-  return a.transfer(who, std::min(amount, a.rights() / 2));
+  // The requester has not received an earlier transfer and asks again: repeats the total, transfers nothing
+  // more.
+  if (counter.transferred_to(requester) > received) return counter.transferred_to(requester);
+  return counter.transfer(requester, std::min(amount, counter.rights() / 2));
 }
 
-bool QuotaAllocator::on_transfer(const std::string& tenant, const HolderId& from, Rights sum) {
-  auto it = stores_.find(tenant);
-  return it != stores_.end() && it->second.account.merge_received(from, sum);
+bool QuotaAllocator::on_transfer(const std::string& tenant, const HolderId& from, Rights total) {
+  auto it = accounts_.find(tenant);
+  return it != accounts_.end() && it->second.counter.merge_received(from, total);
 }
 
 Rights QuotaAllocator::rights(const std::string& tenant) const {
-  auto it = stores_.find(tenant);
-  return it == stores_.end() ? 0 : it->second.account.rights();
+  auto it = accounts_.find(tenant);
+  return it == accounts_.end() ? 0 : it->second.counter.rights();
 }
 
 Json QuotaAllocator::balances() const {
-  Json j;
-  for (auto& [name, s] : stores_) j[name] = s.account.rights();
-  return j;
+  Json balances;
+  for (auto& [name, account] : accounts_) balances[name] = account.counter.rights();
+  return balances;
 }
 
-void QuotaAllocator::on_peer_balances(const HolderId& peer, Millis now, const Json& sums) {
-  Peer& p = peers_[peer];
-  p.at = now;
-  p.sums.clear();
-  if (!sums.is_object()) return;
-  for (auto& [name, n] : sums.items())
-    if (n.is_number_integer()) p.sums[name] = n.get<Rights>();
+void QuotaAllocator::on_peer_balances(const HolderId& peer, Millis now, const Json& balances) {
+  Peer& state = peers_[peer];
+  state.reported_at = now;
+  state.balances.clear();
+  if (!balances.is_object()) return;
+  for (auto& [name, rights] : balances.items())
+    if (rights.is_number_integer()) state.balances[name] = rights.get<Rights>();
 }
 
 std::vector<QuotaAllocator::TransferRequest> QuotaAllocator::transfer_requests(Millis now) {
-  std::vector<TransferRequest> out;
-  std::erase_if(peers_, [&](auto& p) { return now > p.second.at + 3 * kQuotaSyncMs; });
-  for (auto& [name, s] : stores_) {
-    Rights have = s.account.rights();
-    if (!s.in_use || double(have) >= double(s.most) * kRequestBelowShare + double(kRightsPerOperation))
+  std::vector<TransferRequest> requests;
+  std::erase_if(peers_, [&](auto& entry) { return now > entry.second.reported_at + 3 * kQuotaSyncMs; });
+  for (auto& [name, account] : accounts_) {
+    Rights available = account.counter.rights();
+    if (!account.in_use ||
+        double(available) >= double(account.capacity) * kRequestBelowShare + double(kRightsPerOperation))
       continue;
-    if (now < s.asked_at + kQuotaRequestMs) continue;
+    if (now < account.requested_at + kQuotaRequestMs) continue;
     const HolderId* richest = nullptr;
-    Rights most = have + 2 * kRightsPerOperation;  // less is not worth a message
-    for (auto& [peer, p] : peers_) {
-      auto n = p.sums.find(name);
-      if (n != p.sums.end() && n->second > most) richest = &peer, most = n->second;
+    Rights most = available + 2 * kRightsPerOperation;  // a smaller difference is not worth a message
+    for (auto& [peer, state] : peers_) {
+      auto balance = state.balances.find(name);
+      if (balance != state.balances.end() && balance->second > most) richest = &peer, most = balance->second;
     }
     if (!richest) continue;
-    s.asked_at = now;
-    out.push_back({*richest, name, s.account.received_from(*richest), (most - have) / 2});
+    account.requested_at = now;
+    requests.push_back({*richest, name, account.counter.received_from(*richest), (most - available) / 2});
   }
-  return out;
+  return requests;
 }
 
 }  // namespace pebblespindle::quota
