--- a/src/config/command_validation.cc
+++ b/src/config/command_validation.cc
@@ -74,7 +74,8 @@
   if (!next) return refuse(next.status());
   if (next->revision <= change.base_revision)
     return refuse(Status::invalid_argument("Revision is not above " + std::to_string(change.base_revision)));
-  // The base revision may have been committed without having reached this replica's state yet.
+  // The command that produces the base revision may still be on its way, so this change may become valid
+  // later.
   if (change.base_revision > current)
     return refuse(Status::unavailable(revision_conflict(current).message()));
   return {Status::ok(), change_rows(state, change, body, *next)};
