--- a/src/sidecar/app_response_reader.cc
+++ b/src/sidecar/app_response_reader.cc
@@ -11,22 +11,22 @@
 
 bool AppResponseReader::feed(std::string_view bytes, std::vector<Response>& out) {
   while (!bytes.empty()) {
-    std::size_t took = 0;
-    auto state = reader_.feed(bytes, took);
+    std::size_t consumed = 0;
+    auto state = reader_.feed(bytes, consumed);
     if (state == HttpReader::State::kMore) return true;
     if (state != HttpReader::State::kDone) return false;
-    bytes.remove_prefix(took);
-    HttpMessage m = reader_.take();
-    if (m.status >= 100 && m.status < 200) continue;
-    // More after a whole answer: nothing after it counts.
-    Millis keep = m.keep_alive && bytes.empty() ? 0 : -1;
-    if (auto* k = find_field(m.fields, "Keep-Alive"); k && keep == 0)
-      if (auto at = k->find("timeout="); at != std::string::npos) {
-        unsigned s = 0;
-        if (std::from_chars(k->data() + at + 8, k->data() + k->size(), s).ec == std::errc())
-          keep = s == 0 ? -1 : Millis(s) * 1000;
+    bytes.remove_prefix(consumed);
+    HttpMessage message = reader_.take();
+    if (message.status >= 100 && message.status < 200) continue;
+    // Bytes after a complete response were not requested: the connection is not to be reused.
+    Millis keep_alive_ms = message.keep_alive && bytes.empty() ? 0 : -1;
+    if (auto* value = find_field(message.fields, "Keep-Alive"); value && keep_alive_ms == 0)
+      if (auto at = value->find("timeout="); at != std::string::npos) {
+        unsigned seconds = 0;
+        if (std::from_chars(value->data() + at + 8, value->data() + value->size(), seconds).ec == std::errc())
+          keep_alive_ms = seconds == 0 ? -1 : Millis(seconds) * 1000;
       }
-    out.push_back({{m.status, std::move(m.body), std::move(m.fields)}, keep});
+    out.push_back({{message.status, std::move(message.body), std::move(message.fields)}, keep_alive_ms});
   }
   return true;
 }
--- a/src/sidecar/app_response_reader.h
+++ b/src/sidecar/app_response_reader.h
@@ -1,4 +1,4 @@
-// What a database says on one connection, as answers. No I/O.
+// Parses the responses of the database on one connection. Does no I/O of its own.
 #pragma once
 #include "base/types.h"
 #include "sidecar/call.h"
@@ -10,13 +10,12 @@
   AppResponseReader();
   struct Response {
     Reply reply;
-    Millis keep_alive_ms =
-        0;  // how long the connection may rest; 0: not said; below 0: it ends with this answer
+    Millis keep_alive_ms = 0;  // allowed idle time; 0: not stated; below 0: not to be reused
   };
   void request_sent(bool head_only) {
     reader_.no_body(head_only);
-  }  // a request leaves; whether it asks for a head only
-  // False: what came is not HTTP. What was complete before it is in `out`.
+  }  // true for HEAD, whose response has no body
+  // Appends complete responses to `out`. False: the bytes after them are not valid HTTP.
   bool feed(std::string_view bytes, std::vector<Response>& out);
 
  private:
--- a/src/sidecar/client_listener.cc
+++ b/src/sidecar/client_listener.cc
@@ -8,113 +8,119 @@
 namespace pebblespindle::sidecar {
 
 std::string ClientListener::listen(const Endpoint& at) {
-  auto a = Acceptor::listen(loop_.io(), at, [this](asio::ip::tcp::socket s) { accept(std::move(s)); });
-  if (!a) return a.status().message();
-  acceptor_ = std::move(*a);
+  auto acceptor =
+      Acceptor::listen(loop_.io(), at, [this](asio::ip::tcp::socket socket) { accept(std::move(socket)); });
+  if (!acceptor) return acceptor.status().message();
+  acceptor_ = std::move(*acceptor);
   return {};
 }
 
 void ClientListener::accept(asio::ip::tcp::socket socket) {
-  auto c = std::make_shared<Client>(callbacks_.limits());
-  c->conn = std::make_shared<LineConnection>(std::move(socket), kMaxCallBytes, LineConnection::Kind::kBytes);
-  if (draining_) c->line.drain();
-  clients_[c.get()] = c;
-  c->conn->start({[this, c](std::string_view bytes) { read(c, bytes); },
-                  [this, c](LineConnection::End) { ended(c); }, [this] { loop_.rearm(); },
-                  [this, c] { written(c); }});
-  watch(c);
+  auto client = std::make_shared<Client>(callbacks_.limits());
+  client->conn =
+      std::make_shared<LineConnection>(std::move(socket), kMaxCallBytes, LineConnection::Kind::kBytes);
+  if (draining_) client->pipeline.drain();
+  clients_[client.get()] = client;
+  client->conn->start({[this, client](std::string_view bytes) { on_read(client, bytes); },
+                       [this, client](LineConnection::End) { on_closed(client); }, [this] { loop_.rearm(); },
+                       [this, client] { on_written(client); }});
+  restart_timer(client);
 }
 
-// A head must be complete in time; a body may go on as long as it moves; a connection may rest only so long.
-void ClientListener::watch(const Ptr& c) {
-  loop_.timers().cancel(c->timer);
-  if (c->line.awaiting() == Pipeline::Awaiting::kNothing && !c->line.is_finished()) return;
-  const Limits& l = callbacks_.limits();
-  Millis most = c->line.awaiting() == Pipeline::Awaiting::kHead ? l.header_timeout_ms : l.idle_timeout_ms;
-  c->timer = loop_.timers().at(loop_.now() + most, [this, c] {
-    c->timer = 0;
-    on_timer(c);
+// The time to send a head is limited as a whole; while a body arrives, and while a connection is idle, only
+// the time without any bytes is.
+void ClientListener::restart_timer(const Ptr& client) {
+  loop_.timers().cancel(client->timer);
+  if (client->pipeline.awaiting() == Pipeline::Awaiting::kNothing && !client->pipeline.is_finished()) return;
+  const Limits& limits = callbacks_.limits();
+  Millis timeout_ms = client->pipeline.awaiting() == Pipeline::Awaiting::kHead ? limits.header_timeout_ms
+                                                                               : limits.idle_timeout_ms;
+  client->timer = loop_.timers().at(loop_.now() + timeout_ms, [this, client] {
+    client->timer = 0;
+    on_timer(client);
   });
   loop_.rearm();
 }
 
-void ClientListener::on_timer(const Ptr& c) {
-  if (c->line.is_finished()) {  // its client takes nothing
-    c->conn->close();
-    return ended(c);
+void ClientListener::on_timer(const Ptr& client) {
+  if (client->pipeline.is_finished()) {  // the client does not read its last response
+    client->conn->close();
+    return on_closed(client);
   }
-  // The client's rest begins when the answer has left.
-  if (c->line.is_idle() && c->conn->queued() > 0) return watch(c);
-  write(c, c->line.on_timeout());
+  // A connection counts as idle only once its response has been written.
+  if (client->pipeline.is_idle() && client->conn->queued() > 0) return restart_timer(client);
+  write(client, client->pipeline.on_timeout());
 }
 
-void ClientListener::read(const Ptr& c, std::string_view bytes) {
-  c->line.set_limits(callbacks_.limits());
-  const auto before = c->line.awaiting();
+void ClientListener::on_read(const Ptr& client, std::string_view bytes) {
+  client->pipeline.set_limits(callbacks_.limits());
+  const auto before = client->pipeline.awaiting();
   std::string out;
-  auto asked = c->line.read(bytes, last_, out);
-  for (auto& a : asked) calls_[a.id] = c;
-  if (!out.empty() || c->line.is_finished()) write(c, out);
-  for (auto& a : asked)
-    if (calls_.count(a.id)) callbacks_.on_call(a.id, std::move(a.call));
-  if (c->line.is_finished()) return;
-  if (c->line.pending_count() > kBacklogLines || c->conn->queued() > kBackpressureBytes) c->conn->pause(true);
-  const auto now = c->line.awaiting();
-  if (now != before || !asked.empty() || now == Pipeline::Awaiting::kBody) watch(c);
+  auto new_calls = client->pipeline.read(bytes, last_id_, out);
+  for (auto& new_call : new_calls) calls_[new_call.id] = client;
+  if (!out.empty() || client->pipeline.is_finished()) write(client, out);
+  for (auto& new_call : new_calls)
+    if (calls_.count(new_call.id)) callbacks_.on_call(new_call.id, std::move(new_call.call));
+  if (client->pipeline.is_finished()) return;
+  if (client->pipeline.pending_count() > kBacklogLines || client->conn->queued() > kBackpressureBytes)
+    client->conn->pause(true);
+  const auto now = client->pipeline.awaiting();
+  if (now != before || !new_calls.empty() || now == Pipeline::Awaiting::kBody) restart_timer(client);
 }
 
-void ClientListener::answer(CallId id, Reply r) {
+void ClientListener::answer(CallId id, Reply reply) {
   auto it = calls_.find(id);
   if (it == calls_.end()) return;
-  Ptr c = it->second;
+  Ptr client = it->second;
   calls_.erase(it);
-  write(c, c->line.answer(id, std::move(r)));
+  write(client, client->pipeline.answer(id, std::move(reply)));
 }
 
-void ClientListener::write(const Ptr& c, const std::string& bytes) {
-  if (!bytes.empty()) c->conn->send(bytes);
-  if (c->line.is_finished()) {
-    watch(c);
-    if (draining_)  // its client may be about to send
-      c->conn->close_lingering();
+void ClientListener::write(const Ptr& client, const std::string& bytes) {
+  if (!bytes.empty()) client->conn->send(bytes);
+  if (client->pipeline.is_finished()) {
+    restart_timer(client);
+    if (draining_)  // the client may be sending a request: a reset could lose the response
+      client->conn->close_lingering();
     else
-      c->conn->close_after_flush();
-    if (!c->conn->open()) ended(c);
+      client->conn->close_after_flush();
+    if (!client->conn->open()) on_closed(client);
     return;
   }
-  if (!bytes.empty()) watch(c);
+  if (!bytes.empty()) restart_timer(client);
 }
 
-// All that was sent is out: the client may go on, or the connection has ended.
-void ClientListener::written(const Ptr& c) {
-  if (!c->conn->open()) return ended(c);
-  if (c->line.pending_count() <= kBacklogLines) c->conn->pause(false);
-  watch(c);
+// All responses have been written: reading goes on, unless the connection has ended.
+void ClientListener::on_written(const Ptr& client) {
+  if (!client->conn->open()) return on_closed(client);
+  if (client->pipeline.pending_count() <= kBacklogLines) client->conn->pause(false);
+  restart_timer(client);
 }
 
-void ClientListener::ended(const Ptr& c) {
-  loop_.timers().cancel(c->timer);
-  for (auto id : c->line.unanswered())
+void ClientListener::on_closed(const Ptr& client) {
+  loop_.timers().cancel(client->timer);
+  for (auto id : client->pipeline.unanswered())
     if (calls_.erase(id)) callbacks_.on_client_gone(id);
-  clients_.erase(c.get());
+  clients_.erase(client.get());
   loop_.rearm();
 }
 
 std::size_t ClientListener::pending_count() const {
-  return calls_.size() + std::size_t(std::count_if(clients_.begin(), clients_.end(), [](auto& e) {
-           return e.second->conn->open() && (e.second->conn->queued() > 0 || e.second->line.is_finished());
+  return calls_.size() + std::size_t(std::count_if(clients_.begin(), clients_.end(), [](auto& entry) {
+           return entry.second->conn->open() &&
+                  (entry.second->conn->queued() > 0 || entry.second->pipeline.is_finished());
          }));
 }
 
 void ClientListener::drain() {
   draining_ = true;
   if (acceptor_) acceptor_->close();
-  std::vector<Ptr> resting;
-  for (auto& [key, c] : clients_) {
-    c->line.drain();
-    if (c->line.is_idle()) resting.push_back(c);
+  std::vector<Ptr> idle;
+  for (auto& [key, client] : clients_) {
+    client->pipeline.drain();
+    if (client->pipeline.is_idle()) idle.push_back(client);
   }
-  for (auto& c : resting) write(c, c->line.on_timeout());
+  for (auto& client : idle) write(client, client->pipeline.on_timeout());
 }
 
 }  // namespace pebblespindle::sidecar
--- a/src/sidecar/client_listener.h
+++ b/src/sidecar/client_listener.h
@@ -1,4 +1,5 @@
-// The clients of a sidecar: their connections, limits and timers; what is said on them is Pipeline's.
+// Accepts the connections of clients on this machine and applies their limits and timeouts. Pipeline handles
+// the HTTP on each connection.
 #pragma once
 #include <functional>
 #include <map>
@@ -13,39 +14,40 @@
  public:
   struct Callbacks {
     std::function<void(CallId, Call)> on_call;
-    std::function<void(CallId)> on_client_gone;  // nobody waits for it any more
+    std::function<void(CallId)> on_client_gone;  // the client of a call has left
     std::function<const Limits&()> limits;
   };
   ClientListener(EventLoop& loop, Callbacks callbacks) : loop_(loop), callbacks_(std::move(callbacks)) {}
-  std::string listen(const Endpoint& at);  // empty, or why not
-  void answer(CallId id, Reply r);
-  // No new connections, and those that rest are closed; answers close theirs.
+  std::string listen(const Endpoint& at);  // empty, or the error
+  // Sends a response to its client. Ignored if the client has left or the call has been answered.
+  void answer(CallId id, Reply reply);
+  // Accepts no new connections and closes idle ones; other connections are closed after their last response.
   void drain();
-  // Requests without an answer, and connections with an answer that is not written out or not yet ended.
+  // Requests without a response, plus connections whose responses are not fully written or that are closing.
   std::size_t pending_count() const;
 
  private:
   struct Client {
-    explicit Client(const Limits& l) : line(l) {}
+    explicit Client(const Limits& limits) : pipeline(limits) {}
     LineConnection::Ptr conn;
-    Pipeline line;
+    Pipeline pipeline;
     TimerQueue::Id timer = 0;
   };
   using Ptr = std::shared_ptr<Client>;
   void accept(asio::ip::tcp::socket socket);
-  void read(const Ptr& c, std::string_view bytes);
-  void write(const Ptr& c, const std::string& bytes);
-  void written(const Ptr& c);
-  void watch(const Ptr& c);
-  void on_timer(const Ptr& c);
-  void ended(const Ptr& c);
+  void on_read(const Ptr& client, std::string_view bytes);
+  void write(const Ptr& client, const std::string& bytes);
+  void on_written(const Ptr& client);
+  void restart_timer(const Ptr& client);
+  void on_timer(const Ptr& client);
+  void on_closed(const Ptr& client);
 
   EventLoop& loop_;
   Callbacks callbacks_;
   std::unique_ptr<Acceptor> acceptor_;
   std::map<CallId, Ptr> calls_;
   std::map<Client*, Ptr> clients_;
-  CallId last_ = 0;
+  CallId last_id_ = 0;
   bool draining_ = false;
 };
 
--- a/src/sidecar/connections.cc
+++ b/src/sidecar/connections.cc
@@ -5,42 +5,43 @@
 namespace pebblespindle::sidecar {
 
 std::string PeerLinks::listen(const Endpoint& at) {
-  auto a = Acceptor::listen(loop_.io(), at, [this](asio::ip::tcp::socket s) { accept(std::move(s)); });
-  if (!a) return a.status().message();
-  acceptor_ = std::move(*a);
+  auto acceptor =
+      Acceptor::listen(loop_.io(), at, [this](asio::ip::tcp::socket socket) { accept(std::move(socket)); });
+  if (!acceptor) return acceptor.status().message();
+  acceptor_ = std::move(*acceptor);
   return {};
 }
 
 void PeerLinks::accept(asio::ip::tcp::socket socket) {
   set_silence_limit(socket, kPeerLinkTimeoutMs);
-  LinkId id = ++last_;
+  LinkId id = ++last_link_;
   auto conn =
       std::make_shared<LineConnection>(std::move(socket), kMaxFrameBytes, LineConnection::Kind::kFrames);
-  callers_[id] = conn;
-  if (ending_) conn->send_frame(encode_frame({{"t", kShutdownFrame}}));
+  accepted_links_[id] = conn;
+  if (shutting_down_) conn->send_frame(encode_frame({{"t", kShutdownFrame}}));
   conn->start({[this, id, conn](std::string_view frame) {
-                 if (auto m = decode_frame(frame)) return callbacks_.on_offer(id, *m);
+                 if (auto message = decode_frame(frame)) return callbacks_.on_offer(id, *message);
                  conn->close();
-                 callers_.erase(id);
+                 accepted_links_.erase(id);
                  callbacks_.on_link_closed(id);
                },
                [this, id](LineConnection::End) {
-                 callers_.erase(id);
+                 accepted_links_.erase(id);
                  callbacks_.on_link_closed(id);
                },
                [this] { loop_.rearm(); }});
 }
 
 void PeerLinks::reply(LinkId link, const Json& frame) {
-  auto it = callers_.find(link);
-  if (it != callers_.end()) it->second->send_frame(encode_frame(frame));
+  auto it = accepted_links_.find(link);
+  if (it != accepted_links_.end()) it->second->send_frame(encode_frame(frame));
 }
 
 void PeerLinks::send(const Endpoint& to, const Json& frame) {
-  Peer& p = peers_[to];
-  if (p.conn) return p.conn->send_frame(encode_frame(frame));
-  p.held.push_back({frame, loop_.now()});
-  if (!p.dialling) dial(to);
+  Peer& peer = peers_[to];
+  if (peer.conn) return peer.conn->send_frame(encode_frame(frame));
+  peer.queued_frames.push_back({frame, loop_.now()});
+  if (!peer.connecting) open_link(to);
 }
 
 bool PeerLinks::is_linked(const Endpoint& to) const {
@@ -50,44 +51,45 @@
 
 void PeerLinks::connect(const Endpoint& to) {
   const Peer& peer = peers_[to];
-  if (!peer.conn && !peer.dialling) dial(to);
+  if (!peer.conn && !peer.connecting) open_link(to);
 }
 
-bool PeerLinks::withdraw(const Endpoint& to, std::uint64_t n) {
+bool PeerLinks::withdraw(const Endpoint& to, std::uint64_t offer_number) {
   auto it = peers_.find(to);
-  if (it == peers_.end()) return false;  // its link has ended
+  if (it == peers_.end()) return false;  // the link has ended: the offer may have been sent
   if (!it->second.conn)
-    return std::erase_if(it->second.held, [&](const Held& h) { return unsigned_field(h.frame, "n") == n; }) >
-           0;
-  it->second.conn->send_frame(encode_frame({{"t", "x"}, {"n", n}}));
+    return std::erase_if(it->second.queued_frames, [&](const QueuedFrame& queued) {
+             return unsigned_field(queued.frame, "n") == offer_number;
+           }) > 0;
+  it->second.conn->send_frame(encode_frame({{"t", "x"}, {"n", offer_number}}));
   return false;
 }
 
 void PeerLinks::announce_shutdown() {
-  ending_ = true;
-  for (auto& [id, conn] : callers_) conn->send_frame(encode_frame({{"t", kShutdownFrame}}));
+  shutting_down_ = true;
+  for (auto& [id, conn] : accepted_links_) conn->send_frame(encode_frame({{"t", kShutdownFrame}}));
 }
 
 bool PeerLinks::has_unsent() const {
-  for (auto& [id, conn] : callers_)
+  for (auto& [id, conn] : accepted_links_)
     if (conn->queued() > 0) return true;
   return false;
 }
 
-void PeerLinks::dial(const Endpoint& to) {
-  peers_[to].dialling = true;
+void PeerLinks::open_link(const Endpoint& to) {
+  peers_[to].connecting = true;
   LineConnection::connect(
       loop_.io(), to, kPeerConnectTimeoutMs, kMaxFrameBytes,
       [this, to](LineConnection::Ptr conn, const asio::error_code&) {
-        Peer& p = peers_[to];
-        p.dialling = false;
-        auto held = std::exchange(p.held, {});
+        Peer& peer = peers_[to];
+        peer.connecting = false;
+        auto queued_frames = std::exchange(peer.queued_frames, {});
         if (!conn) {
           peers_.erase(to);
           callbacks_.on_link_down(to, false);
           return loop_.rearm();
         }
-        p.conn = conn;
+        peer.conn = conn;
         set_silence_limit(conn->socket(), kPeerLinkTimeoutMs);
         auto lost = [this, to, conn] {
           auto it = peers_.find(to);
@@ -97,18 +99,20 @@
           loop_.rearm();
         };
         conn->start({[this, to, conn, lost](std::string_view frame) {
-                       auto m = decode_frame(frame);
-                       if (m && text_field(*m, "t") == kShutdownFrame) return callbacks_.on_peer_ending(to);
-                       if (m) return callbacks_.on_answer(to, *m);
+                       auto message = decode_frame(frame);
+                       if (message && text_field(*message, "t") == kShutdownFrame)
+                         return callbacks_.on_peer_ending(to);
+                       if (message) return callbacks_.on_answer(to, *message);
                        conn->close();
                        lost();
                      },
                      [lost](LineConnection::End) { lost(); }, [this] { loop_.rearm(); }});
-        for (auto& h : held) {  // what was left when it was offered is less by now
+        for (auto& queued : queued_frames) {  // the remaining times in the offer have become shorter
           for (const char* key : {"d", "w", "a"})
-            if (h.frame.contains(key))
-              h.frame[key] = clamped_field(h.frame, key, 0, 0, kMaxWaitMs) - (loop_.now() - h.since);
-          conn->send_frame(encode_frame(h.frame));
+            if (queued.frame.contains(key))
+              queued.frame[key] =
+                  clamped_field(queued.frame, key, 0, 0, kMaxWaitMs) - (loop_.now() - queued.queued_at);
+          conn->send_frame(encode_frame(queued.frame));
         }
       },
       LineConnection::Kind::kFrames);
@@ -132,12 +136,12 @@
                              ec == asio::error::connection_refused || ec == asio::error::connection_reset);
           return loop_.rearm();
         }
-        auto c = std::make_shared<Conn>();
-        c->conn = conn;
-        conns_[id] = c;
+        auto connection = std::make_shared<Conn>();
+        connection->conn = conn;
+        connections_[id] = connection;
         conn->start({[this, id](std::string_view bytes) { read(id, bytes); },
                      [this, id](LineConnection::End) {
-                       if (conns_.erase(id)) callbacks_.on_down(id, false);
+                       if (connections_.erase(id)) callbacks_.on_down(id, false);
                        loop_.rearm();
                      },
                      [this] { loop_.rearm(); }});
@@ -147,37 +151,38 @@
       LineConnection::Kind::kBytes);
 }
 
-void AppConnections::send(ConnId id, const Call& c) {
-  auto it = conns_.find(id);
-  if (it == conns_.end()) return;
-  it->second->reader.request_sent(c.method == "HEAD");
-  it->second->conn->send(serialize_request(c));
+void AppConnections::send(ConnId id, const Call& call) {
+  auto it = connections_.find(id);
+  if (it == connections_.end()) return;
+  it->second->reader.request_sent(call.method == "HEAD");
+  it->second->conn->send(serialize_request(call));
 }
 
 void AppConnections::read(ConnId id, std::string_view bytes) {
   callbacks_.on_bytes(id);
-  auto it = conns_.find(id);
-  if (it == conns_.end()) return;
-  auto c = it->second;
-  std::vector<AppResponseReader::Response> answers;
-  const bool fine = c->reader.feed(bytes, answers);
-  for (auto& a : answers) {
-    // An answer that came before its request was written: the rest of that must not follow.
-    if (c->conn->queued() > 0) a.keep_alive_ms = -1;
-    callbacks_.on_reply(id, std::move(a.reply), a.keep_alive_ms);
-    if (!conns_.count(id)) return;
+  auto it = connections_.find(id);
+  if (it == connections_.end()) return;
+  auto connection = it->second;
+  std::vector<AppResponseReader::Response> responses;
+  const bool valid = connection->reader.feed(bytes, responses);
+  for (auto& response : responses) {
+    // The response came before its request was fully written. The rest of the request must not be sent, so
+    // the connection is not reused.
+    if (connection->conn->queued() > 0) response.keep_alive_ms = -1;
+    callbacks_.on_reply(id, std::move(response.reply), response.keep_alive_ms);
+    if (!connections_.count(id)) return;
   }
-  if (fine) return;
+  if (valid) return;
   close(id);
   callbacks_.on_down(id, false);
 }
 
 void AppConnections::close(ConnId id) {
   opening_.erase(id);
-  auto it = conns_.find(id);
-  if (it == conns_.end()) return;
+  auto it = connections_.find(id);
+  if (it == connections_.end()) return;
   it->second->conn->close();
-  conns_.erase(it);
+  connections_.erase(it);
 }
 
 }  // namespace pebblespindle::sidecar
--- a/src/sidecar/constants.h
+++ b/src/sidecar/constants.h
@@ -1,5 +1,4 @@
-// Limits, time-outs and weights of the sidecar. Each line above a constant says its unit and the reason for
-// its value.
+// Limits, timeouts and weights of the sidecar, each with its unit and the reason for its value.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -8,85 +7,91 @@
 
 namespace pebblespindle {
 
-// Bytes; a request or answer between two sidecars, whole
+// Bytes; a frame between two sidecars, which holds a whole request or response
 constexpr std::size_t kMaxFrameBytes = 16 << 20;
-// Bytes; a body held whole: a few fit into a sidecar's memory
+// Bytes; the body of a request or response, held in memory as a whole; only a few of these fit into a
+// sidecar's memory
 constexpr std::size_t kMaxCallBytes = 8 << 20;
-// Bytes; a database's answer has a few fields, never as many as this
+// Bytes; the head of a database's response, which has far fewer fields
 constexpr std::size_t kMaxResponseHeadBytes = 65536;
-// Levels; a frame holds lists of fields and nothing deeper
+// Nesting levels of a frame, which holds lists of fields and nothing deeper
 constexpr int kMaxFrameDepth = 4;
-// ms; no client waits an hour: what a peer's frame says beyond it is a fault
+// ms; longest time that a peer's frame may name: no client waits an hour
 constexpr Millis kMaxWaitMs = 3'600'000;
-// Of the fleet's budget: the rest is for windows that slide unlike ours
+// Share of the fleet's retry budget that this node uses; the rest covers sliding windows that are not aligned
+// with this node's
 constexpr double kRetryBudgetShare = 0.75;
-// ms; a hundredth of a window: its edge is sharp enough
+// ms; resolution of the retry window, a hundredth of the default window, which is precise enough at its edge
 constexpr Millis kRetryBudgetSlotMs = 100;
-// ms; many round trips; then another database is tried
+// ms; many round trips; after that another database is tried
 constexpr Millis kPeerConnectTimeoutMs = 400;
-// ms; unacknowledged bytes on a link between sidecars: it is dead
+// ms; a link to another sidecar counts as dead if sent bytes stay unacknowledged this long
 constexpr Millis kPeerLinkTimeoutMs = 1500;
-// ms; a sidecar that could not be reached is left alone this long
+// ms; first pause after a sidecar could not be reached; doubles with each failure
 constexpr Millis kFirstPeerBackoffMs = 100;
-// ms; at most: one try of one request
+// ms; longest pause before another attempt to reach a sidecar, which costs at most one try of one request
 constexpr Millis kMaxPeerBackoffMs = 1600;
-// ms; word of a full database counts this long: a third of its work
+// ms; a database that reported to be full counts as full this long, about a third of a request's work
 constexpr Millis kFullReportTtlMs = 60;
-// ms; at most: it may have become free long before
+// ms; upper bound of the above for long queues: the database may have become free long before
 constexpr Millis kMaxFullReportTtlMs = 500;
-// ms; word that a wait would be too long counts this long: about as long as a request takes
+// ms; a refusal because the wait would be too long counts this long, about the time a request takes
 constexpr Millis kNoRoomTtlMs = 200;
-// ms; half of what was told of a load has passed after this
+// ms; half-life of a reported load, which loses weight against the assumed utilization
 constexpr double kLoadHalfLifeMs = 300.0;
-// Of the slots; what a database is thought to run without word
+// Share of the slots that a database is assumed to use without a recent report
 constexpr double kAssumedUtilization = 0.45;
-// Of the slots; a database in another zone is chosen beyond this
+// Share of the slots; load difference from which a database in another zone is preferred
 constexpr double kOtherZoneCost = 0.35;
-// Full databases met before a request waits at one of them
+// Refusals by full databases before a request is queued at one of them
 constexpr int kMaxFullRefusals = 4;
-// Databases compared in a zone; more would send all to the same
+// Databases compared in each zone; with more, all nodes would choose the same one
 constexpr std::size_t kCandidatesPerZone = 4;
-// Of the slots; what a database that always fails costs more
+// Multiples of the slots; load added to a database that always fails, less in proportion to its failures
 constexpr double kFailureCost = 6.0;
-// ms; a rank below another counts as an aim that ends this much later
+// ms; each step of lower priority orders a request as if its latency target ended this much later
 constexpr Millis kPriorityStepMs = 60;
-// Ranks; more than any configuration has
+// Highest priority number in a peer's frame; more than any configuration has
 constexpr std::int64_t kMaxPriority = 100;
-// Of the mean; what is left of the aim when a request begins: its work may take longer than most
+// Multiple of the mean service time that has to remain of the latency target when a request starts, as its
+// work may take longer than that of most
 constexpr double kServiceTimeMargin = 2.0;
-// Of the aim; a request that has not begun to run by then is refused
+// Share of the latency target; a request that is still queued by then is refused
 constexpr double kMaxQueueShare = 0.7;
-// ms; no second database is asked sooner
+// ms; a hedged request is not sent to a second database sooner
 constexpr Millis kMinHedgeDelayMs = 40;
-// Mean deviations over the mean answer before one is missed
+// Mean deviations above the mean response time after which a request is hedged
 constexpr double kHedgeDeviations = 4.0;
-// Of the aim; before any answer is known, one is missed after this
+// Share of the latency target after which a request is hedged while no response time is known
 constexpr double kHedgeTargetShare = 0.6;
-// Weight of one answer in mean and deviation
+// Weight of one response in the moving mean and deviation of response times
 constexpr double kResponseTimeWeight = 0.05;
-// ms; taken off for the way back from the database
+// ms; subtracted from the deadline for the way of the response back
 constexpr Millis kReturnPathMs = 4;
-// Weight of one result; the last twenty count
+// Weight of one result in the moving averages of a database; about the last twenty results count
 constexpr double kResultWeight = 0.1;
-// ms; a database that is down is tried again
+// ms; interval of probe requests to a database that is down
 constexpr Millis kDownProbeIntervalMs = 250;
-// Requests in a row without an answer: it is down
+// Consecutive requests without a response after which a database counts as down
 constexpr int kTimeoutsUntilDown = 3;
-// Failures in a row: one that fails two of five is seldom taken for one that is down
+// Consecutive failures after which a database counts as down; few enough false alarms for one that fails two
+// requests of five
 constexpr int kFailuresUntilDown = 6;
-// ms; on this machine; the database counts this as part of its slots
+// ms; connecting to the database on the same machine; a request occupies a slot meanwhile
 constexpr Millis kAppConnectTimeoutMs = 500;
-// Of the idle time at which a connection was found dead: others are used up to this
+// Share of the idle time after which a connection was found dead, up to which others are used
 constexpr double kTrustedIdleShare = 0.7;
-// ms; a connection is kept unused before the database has told
+// ms; idle time up to which connections are used before any was found dead
 constexpr Millis kInitialIdleLimitMs = 20000;
-// ms; a younger one is trusted whatever was met
+// ms; connections idle for less than this are always used
 constexpr Millis kMinIdleLimitMs = 50;
-// ms; a refused client comes back after about half a request's work
+// ms; Retry-After of a refused client, about half the work of a request
 constexpr Millis kRetryAfterMs = 80;
-// ms; a request whose caller has left may run on so long, since its connection is worth keeping
+// ms; an idempotent request whose caller has left may run this long before it is aborted: most end sooner,
+// which keeps the connection
 constexpr Millis kAbandonedRequestLimitMs = 400;
-// ms; callers count a second of silence as a failure
+// ms; a heartbeat that the core has not answered by then gets a 503: callers treat one second without an
+// answer as a failure
 constexpr Millis kHeartbeatTimeoutMs = 900;
 
 }  // namespace pebblespindle
--- a/src/sidecar/frame.cc
+++ b/src/sidecar/frame.cc
@@ -8,11 +8,11 @@
 
 namespace {
 
-// The library's reader goes as deep as the bytes say; a frame is flat.
-class Shallow : public nlohmann::detail::json_sax_dom_parser<Json> {
+// Rejects deep nesting, which the parser of the library follows without limit.
+class DepthLimitedParser : public nlohmann::detail::json_sax_dom_parser<Json> {
  public:
   using Dom = nlohmann::detail::json_sax_dom_parser<Json>;
-  explicit Shallow(Json& out) : Dom(out, false) {}
+  explicit DepthLimitedParser(Json& out) : Dom(out, false) {}
   bool start_object(std::size_t n) { return ++depth_ <= kMaxFrameDepth && Dom::start_object(n); }
   bool start_array(std::size_t n) { return ++depth_ <= kMaxFrameDepth && Dom::start_array(n); }
   bool end_object() { return --depth_, Dom::end_object(); }
@@ -24,43 +24,43 @@
 
 }  // namespace
 
-std::string encode_frame(const Json& j) {
+std::string encode_frame(const Json& frame) {
   std::string out;
-  Json::to_msgpack(j, out);
+  Json::to_msgpack(frame, out);
   return out;
 }
 
 std::optional<Json> decode_frame(std::string_view bytes) {
-  Json j;
-  Shallow sax(j);
-  if (!Json::sax_parse(bytes.begin(), bytes.end(), &sax, Json::input_format_t::msgpack, true) ||
-      !j.is_object())
+  Json frame;
+  DepthLimitedParser parser(frame);
+  if (!Json::sax_parse(bytes.begin(), bytes.end(), &parser, Json::input_format_t::msgpack, true) ||
+      !frame.is_object())
     return std::nullopt;
-  return j;
+  return frame;
 }
 
-Millis clamped_field(const Json& m, const char* key, Millis fallback, Millis lowest, Millis highest) {
-  auto it = m.find(key);
-  if (it == m.end() || !it->is_number()) return fallback;
-  double v = it->get<double>();
-  if (!(v > double(lowest))) return lowest;
-  return v < double(highest) ? Millis(v) : highest;
+Millis clamped_field(const Json& frame, const char* key, Millis fallback, Millis lowest, Millis highest) {
+  auto it = frame.find(key);
+  if (it == frame.end() || !it->is_number()) return fallback;
+  double value = it->get<double>();
+  if (!(value > double(lowest))) return lowest;
+  return value < double(highest) ? Millis(value) : highest;
 }
 
-std::uint64_t unsigned_field(const Json& m, const char* key) {
-  auto it = m.find(key);
-  if (it == m.end() || !it->is_number_integer()) return 0;
+std::uint64_t unsigned_field(const Json& frame, const char* key) {
+  auto it = frame.find(key);
+  if (it == frame.end() || !it->is_number_integer()) return 0;
   return it->is_number_unsigned() || it->get<std::int64_t>() > 0 ? it->get<std::uint64_t>() : 0;
 }
 
-std::string text_field(const Json& m, const char* key) {
-  auto it = m.find(key);
-  return it != m.end() && it->is_string() ? it->get<std::string>() : std::string();
+std::string text_field(const Json& frame, const char* key) {
+  auto it = frame.find(key);
+  return it != frame.end() && it->is_string() ? it->get<std::string>() : std::string();
 }
 
-bool bool_field(const Json& m, const char* key) {
-  auto it = m.find(key);
-  return it != m.end() && it->is_boolean() && it->get<bool>();
+bool bool_field(const Json& frame, const char* key) {
+  auto it = frame.find(key);
+  return it != frame.end() && it->is_boolean() && it->get<bool>();
 }
 
 bool is_single_line(std::string_view s) {
--- a/src/sidecar/inbound.h
+++ b/src/sidecar/inbound.h
@@ -1,6 +1,7 @@
-// The half of a sidecar beside a database, through which alone requests come to it. So it knows exactly what
-// runs there: it keeps the queue, never gives the database more than its slots, refuses early and truly, and
-// judges it by every result. No I/O.
+// The inbound half of a sidecar forwards the requests of all sidecars to the database on its machine. All
+// requests to that database pass through here, so it knows exactly what runs there: it keeps the queue, never
+// sends more requests than the database has slots, refuses early, and tracks the health of the database by
+// each result. It does no I/O of its own.
 #pragma once
 #include <map>
 #include <optional>
@@ -13,6 +14,7 @@
 
 namespace pebblespindle::sidecar {
 
+// What Inbound needs from its environment. A frame goes back over the link of its offer.
 class InboundPort {
  public:
   virtual ~InboundPort() = default;
@@ -27,88 +29,93 @@
   Inbound(InboundPort& port, TimerQueue& timers) : port_(port), timers_(timers) {}
   void set_time(Millis now) { now_ = now; }
 
-  // The database that is here now; none once it has ended.
-  void set_database(std::optional<Instance> i);
-  const std::optional<Instance>& database() const { return here_; }
+  // Sets the database on this machine; none after it has ended.
+  void set_database(std::optional<Instance> instance);
+  const std::optional<Instance>& database() const { return database_; }
 
-  void offer(LinkId link, const Json& m);
-  // Nobody waits for it any more: what has not been written to the database never will be, and what may be
-  // repeated is broken off there unless it ends soon.
-  void cancel(LinkId link, std::uint64_t n);
+  // Handles the offer of a request: every offer gets one reply, unless its caller cancels it.
+  void offer(LinkId link, const Json& frame);
+  // The caller of an offer no longer waits. If the request has not been sent to the database, it never will
+  // be. An idempotent request that runs there is aborted after kAbandonedRequestLimitMs.
+  void cancel(LinkId link, std::uint64_t offer_number);
   void link_closed(LinkId link);
 
   void app_connection_up(ConnId id);
-  // Something has come from the database, perhaps a part of an answer only.
+  // Bytes have arrived from the database, perhaps only part of a response.
   void app_bytes_received(ConnId id);
-  // keep_ms: how long the database says it keeps the connection unused; below 0: it closes it.
-  void app_reply_received(ConnId id, Reply r, Millis keep_alive_ms);
+  // keep_alive_ms: how long the database says that it keeps the connection open while idle; 0: it does not
+  // say; below 0: the connection ends with this response.
+  void app_reply_received(ConnId id, Reply reply, Millis keep_alive_ms);
   void app_connection_down(ConnId id, bool refused);
   std::size_t pending_count() const { return running_ + queue_.size(); }
-  // The end of this process: what is here is run, and nothing more is taken.
+  // This process shuts down: accepted requests still run, new offers are refused.
   void stop_accepting() { accepting_ = false; }
-  // Whatever has no answer yet is told of, as not run or as a failure.
+  // Ends all requests without a response: callers are told that they have not run, or may have run.
   void fail_pending();
 
  private:
   struct Job {
     LinkId link = 0;
-    std::uint64_t n = 0;
+    std::uint64_t offer_number = 0;
     Call call;
-    Millis started = 0, deadline = 0, until = 0, sent = 0, rested = 0;
-    Millis due = 0;
-    bool safe = false, wanted = true, again = false;
-    bool alone = false;  // on a connection of its own: a late answer there could be taken for its own
+    Millis started_at = 0, deadline = 0, queue_deadline = 0, sent_at = 0, connection_idle_ms = 0;
+    Millis order_time = 0;
+    bool idempotent = false, caller_waiting = true, resent = false;
+    // Not sent on a connection that has been used: a late response there could be taken for its own.
+    bool own_connection = false;
     std::string caller;
-    ConnId conn = 0;
+    ConnId connection_id = 0;
     TimerQueue::Id timer = 0;
   };
-  struct Server {
-    InstanceId life;  // the database it was opened to
-    bool up = false, used = false;
-    std::uint64_t job = 0;  // 0: idle
+  struct AppConnection {
+    InstanceId instance;  // the database process it was opened to
+    bool connected = false, used = false;
+    std::uint64_t job_id = 0;  // 0: idle
     Millis idle_since = 0, keep_alive_ms = 0;
     TimerQueue::Id timer = 0;
   };
-  using Rank = std::pair<Millis, std::uint64_t>;  // when it is due, job
-  static Rank rank(std::uint64_t id, const Job& j) { return {j.due, id}; }
+  using QueuePosition = std::pair<Millis, std::uint64_t>;  // order time, job id
+  static QueuePosition queue_position(std::uint64_t id, const Job& job) { return {job.order_time, id}; }
 
-  Json load() const;
-  void say_no(LinkId link, std::uint64_t n, const char* why, bool waited);
-  void say_not_run(const Job& j, const char* why, bool waited);
-  void say_fail(const Job& j);
-  bool here(const InstanceId& id) const { return here_ && here_->id == id; }
-  void turn_away(const char* why);
+  Json load_report() const;
+  void refuse_offer(LinkId link, std::uint64_t offer_number, const char* why, bool waited);
+  void report_not_run(const Job& job, const char* why, bool waited);
+  void report_failure(const Job& job);
+  bool is_current(const InstanceId& id) const { return database_ && database_->id == id; }
+  void refuse_queued(const char* why);
   std::size_t slots() const;
-  double expected_wait_ms(const Rank& rank) const;
+  double expected_wait_ms(const QueuePosition& position) const;
   void admit(std::uint64_t id);
-  void pump();
+  void start_queued();
   void start(std::uint64_t id);
-  void run_on(std::uint64_t id, ConnId conn);
+  void send_on(std::uint64_t id, ConnId connection_id);
   void on_deadline(std::uint64_t id);
   bool abandon(std::uint64_t id);
-  void break_off(std::uint64_t id);
+  void abort_job(std::uint64_t id);
   void end_job(std::uint64_t id);
-  void drop_server(ConnId id);
-  void distrust(Millis rested);
-  void met(bool good, bool silent);
-  void met_error();
-  void set_down();
-  ConnId idle_server(bool safe);
+  void drop_connection(ConnId id);
+  void lower_idle_limit(Millis idle_ms);
+  void record_result(bool succeeded, bool timed_out);
+  void record_error_status();
+  void mark_down();
+  ConnId find_idle_connection(bool idempotent);
 
   InboundPort& port_;
   TimerQueue& timers_;
   Millis now_ = 0;
-  std::optional<Instance> here_;
+  std::optional<Instance> database_;
   std::map<std::uint64_t, Job> jobs_;
-  std::set<Rank> queue_;
-  std::map<ConnId, Server> servers_;
+  std::set<QueuePosition> queue_;
+  std::map<ConnId, AppConnection> connections_;
   std::size_t running_ = 0;
   std::uint64_t last_job_ = 0;
-  ConnId last_conn_ = 0;
-  double ill_ = 0, mean_ = 0;    // share of results that were failures; how long a request has its slot, ms
-  int silent_ = 0, failed_ = 0;  // in a row
-  bool down_ = false, trial_ = false, accepting_ = true;
-  Millis trial_at_ = 0, idle_most_ = kInitialIdleLimitMs;
+  ConnId last_connection_ = 0;
+  // Moving averages: the share of failures among results, 0 to 1, and the time that a request occupies a
+  // slot.
+  double failure_share_ = 0, mean_slot_ms_ = 0;
+  int timeouts_in_row_ = 0, failures_in_row_ = 0;
+  bool down_ = false, probing_ = false, accepting_ = true;
+  Millis next_probe_at_ = 0, idle_limit_ = kInitialIdleLimitMs;
 };
 
 }  // namespace pebblespindle::sidecar
--- a/src/sidecar/instance_heartbeats.h
+++ b/src/sidecar/instance_heartbeats.h
@@ -1,6 +1,6 @@
-// InstanceHeartbeats of the database beside that the core has not answered yet. Each answer goes to the call
-// it answers: a beat is known by its number, which rises; an end has a number of its own, so that no beat's
-// answer is taken for its acknowledgement. No I/O.
+// Heartbeats of the database on this machine that the core has not answered yet. A heartbeat is identified by
+// its number, which increases. A departure has a reserved number, so that the answer to a heartbeat is not
+// taken for its acknowledgement. Does no I/O.
 #pragma once
 #include <functional>
 #include <limits>
@@ -16,8 +16,9 @@
   static constexpr std::uint64_t kDepartureNumber = std::numeric_limits<std::uint64_t>::max();
   using Done = std::function<void(int status)>;
   explicit InstanceHeartbeats(TimerQueue& timers) : timers_(timers) {}
+  // Calls `done` with the status from the core, or with 503 after kHeartbeatTimeoutMs.
   void await_answer(Millis now, const InstanceId& id, std::uint64_t number, Done done) {
-    on_answer(id, number, 503);  // the same again: the former caller has gone on
+    on_answer(id, number, 503);  // sent again: the earlier caller no longer waits
     waiting_[{id, number}] = {std::move(done), timers_.at(now + kHeartbeatTimeoutMs, [this, id, number] {
                                 on_answer(id, number, 503);
                               })};
@@ -25,19 +26,19 @@
   void on_answer(const InstanceId& id, std::uint64_t number, int status) {
     auto it = waiting_.find({id, number});
     if (it == waiting_.end()) return;
-    Asked a = std::move(it->second);
+    Pending pending = std::move(it->second);
     waiting_.erase(it);
-    timers_.cancel(a.timer);
-    a.done(status);
+    timers_.cancel(pending.timer);
+    pending.done(status);
   }
 
  private:
-  struct Asked {
+  struct Pending {
     Done done;
     TimerQueue::Id timer = 0;
   };
   TimerQueue& timers_;
-  std::map<std::pair<InstanceId, std::uint64_t>, Asked> waiting_;
+  std::map<std::pair<InstanceId, std::uint64_t>, Pending> waiting_;
 };
 
 }  // namespace pebblespindle::sidecar
--- a/src/sidecar/outbound.cc
+++ b/src/sidecar/outbound.cc
@@ -11,13 +11,13 @@
 
 namespace {
 
-// The whole number at the start of a field; fractions of a millisecond do not count.
+// Parses the whole number at the start of an HTTP field; a fraction of a millisecond is ignored.
 std::optional<Millis> millis_of(const std::string* field) {
   if (!field) return std::nullopt;
-  Millis v = 0;
-  auto r = std::from_chars(field->data(), field->data() + field->size(), v);
-  if (r.ec != std::errc() || v < 0) return std::nullopt;
-  return v;
+  Millis value = 0;
+  auto result = std::from_chars(field->data(), field->data() + field->size(), value);
+  if (result.ec != std::errc() || value < 0) return std::nullopt;
+  return value;
 }
 
 }  // namespace
@@ -30,288 +30,311 @@
       budget_(options_.retry_ratio, options_.retry_window_ms),
       rng_(options_.seed) {}
 
-Outbound::Work* Outbound::find(CallId id) {
-  auto it = works_.find(id);
-  return it == works_.end() ? nullptr : &it->second;
+Outbound::PendingCall* Outbound::find_call(CallId id) {
+  auto it = calls_.find(id);
+  return it == calls_.end() ? nullptr : &it->second;
 }
 
-std::string Outbound::draw(const Route& r) {
-  if (r.weighted_targets.empty()) return r.service;
+std::string Outbound::pick_service(const Route& route) {
+  if (route.weighted_targets.empty()) return route.service;
   int sum = 0;
-  for (auto& [service, weight] : r.weighted_targets) sum += weight;
-  int n = int(rng_() % std::uint32_t(std::max(1, sum)));
-  for (auto& [service, weight] : r.weighted_targets)
-    if ((n -= weight) < 0) return service;
-  return r.weighted_targets.front().service;
+  for (auto& [service, weight] : route.weighted_targets) sum += weight;
+  int ticket = int(rng_() % std::uint32_t(std::max(1, sum)));
+  for (auto& [service, weight] : route.weighted_targets)
+    if ((ticket -= weight) < 0) return service;
+  return route.weighted_targets.front().service;
 }
 
-void Outbound::start_call(CallId id, Call c) {
+void Outbound::start_call(CallId id, Call call) {
   if (!accepting_) return port_.answer(id, local_reply(503, kRetryAfterMs));
   if (!cluster_.has_configuration()) return port_.answer(id, local_reply(503, kNodeRenewalMs));
-  const std::string* host = find_field(c.fields, "Host");
-  if (!host || c.target.empty() || c.target.front() != '/') return port_.answer(id, local_reply(400));
-  auto path = std::string_view(c.target).substr(0, c.target.find('?'));
+  const std::string* host = find_field(call.fields, "Host");
+  if (!host || call.target.empty() || call.target.front() != '/') return port_.answer(id, local_reply(400));
+  auto path = std::string_view(call.target).substr(0, call.target.find('?'));
   auto route = cluster_.route(host->substr(0, host->find(':')), path);
-  // A node without news cannot tell a route that is missing from one it has not heard of.
+  // Without a current cluster state, a route that does not exist cannot be told from one that has not arrived
+  // yet.
   if (!route) return port_.answer(id, state_current_ ? local_reply(404) : local_reply(503, kNodeRenewalMs));
-  Work& w = works_[id];
-  w.route = route;
-  w.service = draw(*route);
-  w.safe = route->type == RouteType::kIdempotent;
-  w.began = now_;
-  Millis left = route->timeout_ms;
-  if (auto told = millis_of(find_field(c.fields, kDeadlineField))) left = std::min(left, *told);
-  w.deadline = now_ + std::max<Millis>(1, left - kReturnPathMs);
-  w.call = std::move(c);
-  w.timer = timers_.at(w.deadline, [this, id] {
-    Work* x = find(id);
-    if (!x) return;
-    x->timer = 0;
-    withdraw(*x);
-    finish(id, x->may_run > 0 ? local_reply(504) : local_reply(503, kRetryAfterMs));
+  PendingCall& pending = calls_[id];
+  pending.route = route;
+  pending.service = pick_service(*route);
+  pending.idempotent = route->type == RouteType::kIdempotent;
+  pending.started_at = now_;
+  Millis remaining = route->timeout_ms;
+  if (auto requested = millis_of(find_field(call.fields, kDeadlineField)))
+    remaining = std::min(remaining, *requested);
+  pending.deadline = now_ + std::max<Millis>(1, remaining - kReturnPathMs);
+  pending.call = std::move(call);
+  pending.deadline_timer = timers_.at(pending.deadline, [this, id] {
+    PendingCall* expired = find_call(id);
+    if (!expired) return;
+    expired->deadline_timer = 0;
+    withdraw_attempts(*expired);
+    finish(id, expired->possible_runs > 0 ? local_reply(504) : local_reply(503, kRetryAfterMs));
   });
-  if (w.safe) {
-    auto u = usual_.find(route->name);
-    double most = double(route->latency_target_ms) * kHedgeTargetShare;
-    double patience = u == usual_.end() ? most : u->second.mean + kHedgeDeviations * u->second.deviation;
-    w.hedge = timers_.at(now_ + std::max<Millis>(kMinHedgeDelayMs, Millis(patience)), [this, id] {
-      if (Work* x = find(id)) {
-        x->hedge = 0;
+  if (pending.idempotent) {
+    auto times = response_times_.find(route->name);
+    double max_patience = double(route->latency_target_ms) * kHedgeTargetShare;
+    double patience = times == response_times_.end()
+                          ? max_patience
+                          : times->second.mean + kHedgeDeviations * times->second.deviation;
+    pending.hedge_timer = timers_.at(now_ + std::max<Millis>(kMinHedgeDelayMs, Millis(patience)), [this, id] {
+      if (PendingCall* waiting = find_call(id)) {
+        waiting->hedge_timer = 0;
         on_hedge(id);
       }
     });
   }
-  next(id, false);
+  try_next(id, false);
 }
 
 void Outbound::client_gone(CallId id) {
-  Work* w = find(id);
-  if (w) finish(id, {});
+  PendingCall* pending = find_call(id);
+  if (pending) finish(id, {});
 }
 
-// --- choice -----------------------------------------------------------------
+// --- choice of a database -----------------------------------------------------------------
 
-double Outbound::load(const Instance& i, const Peer& p) const {
-  double cap = std::max(1, i.capacity);
-  double fresh = std::exp2(-double(now_ - p.told_at) / kLoadHalfLifeMs);
-  double running = p.told * fresh + kAssumedUtilization * cap * (1 - fresh) + p.since * fresh;
-  running = std::max(running, double(p.flying));
-  double cost = (running + 1) / cap + p.ill * kFailureCost;
-  if (i.zone != options_.zone) cost += kOtherZoneCost;
+double Outbound::load(const Instance& instance, const Database& database) const {
+  double capacity = std::max(1, instance.capacity);
+  double freshness = std::exp2(-double(now_ - database.reported_at) / kLoadHalfLifeMs);
+  double running = database.reported_load * freshness + kAssumedUtilization * capacity * (1 - freshness) +
+                   database.sent_since_report * freshness;
+  running = std::max(running, double(database.in_flight));
+  double cost = (running + 1) / capacity + database.failure_share * kFailureCost;
+  if (instance.zone != options_.zone) cost += kOtherZoneCost;
   return cost;
 }
 
-// Has a link made where none is up. Nobody waits for that as long as others are up: a machine that has gone
-// would look idle, and be sent everything. Nor where it has failed before: until a link is up, such a machine
-// counts as gone.
+// Whether a request may be sent over the link to `at`; starts to connect where there is none. With
+// Link::kUp only an established link counts: the machine behind a missing link may be gone, and as it looks
+// idle it would be chosen for every request. With Link::kFirstAttempt a link that is being established also
+// counts, unless connecting to it has failed before: such a machine counts as gone until its link is up.
 bool Outbound::has_link(const Endpoint& at, Link link) {
   if (port_.is_linked(at)) {
     unreachable_.erase(at);
     return link == Link::kUp;
   }
-  const auto failed = unreachable_.find(at);
-  if (failed != unreachable_.end() && now_ < failed->second.until) return false;
+  const auto backoff = unreachable_.find(at);
+  if (backoff != unreachable_.end() && now_ < backoff->second.until) return false;
   port_.connect(at);
-  return link == Link::kFirstAttempt && failed == unreachable_.end();
+  return link == Link::kFirstAttempt && backoff == unreachable_.end();
 }
 
-// As it last told, and as long as that holds.
-bool Outbound::may_have_room(const Work& w, const InstanceId& id, Room room) {
-  const Peer& peer = peers_[id];
-  const auto refused = peer.no_room_until.find(w.route->name);
-  if (refused != peer.no_room_until.end() && now_ < refused->second) return false;
-  return room == Room::kWaiting || (now_ >= peer.full_until && w.full.count(id) == 0);
+// Whether the database may have a free slot or room in its queue, as far as its reports that have not expired
+// say.
+bool Outbound::may_have_place(const PendingCall& pending, const InstanceId& id, Place place) {
+  const Database& database = databases_[id];
+  const auto refused = database.no_room_until.find(pending.route->name);
+  if (refused != database.no_room_until.end() && now_ < refused->second) return false;
+  return place == Place::kQueue || (now_ >= database.full_until && pending.full.count(id) == 0);
 }
 
-const Instance* Outbound::choose(const Work& w, Room room, Link link) {
-  std::vector<const Instance*> home, away;
-  for (auto* i : cluster_.instances_of(w.service)) {
-    if (i->draining || w.tried.count(i->id) || !may_have_room(w, i->id, room)) continue;
-    if (now_ < peers_[i->id].away.until || shutting_down_peers_.count(i->address)) continue;
-    if (!has_link(i->address, link)) continue;
-    (i->zone == options_.zone ? home : away).push_back(i);
+const Instance* Outbound::choose_instance(const PendingCall& pending, Place place, Link link) {
+  std::vector<const Instance*> same_zone, other_zones;
+  for (auto* instance : cluster_.instances_of(pending.service)) {
+    if (instance->draining || pending.tried.count(instance->id) ||
+        !may_have_place(pending, instance->id, place))
+      continue;
+    if (now_ < databases_[instance->id].backoff.until || shutting_down_peers_.count(instance->address))
+      continue;
+    if (!has_link(instance->address, link)) continue;
+    (instance->zone == options_.zone ? same_zone : other_zones).push_back(instance);
   }
-  return choose_among(home, away);
+  return least_loaded(same_zone, other_zones);
 }
 
-// The least loaded of a few at home and a few elsewhere: few, so that not all nodes choose the same.
-const Instance* Outbound::choose_among(std::vector<const Instance*>& home,
-                                       std::vector<const Instance*>& away) {
+// Returns the least loaded of a few random candidates of this zone and of the other zones, or null. Comparing
+// only a few keeps all nodes from choosing the same database.
+const Instance* Outbound::least_loaded(std::vector<const Instance*>& same_zone,
+                                       std::vector<const Instance*>& other_zones) {
   const Instance* best = nullptr;
   double best_load = 0;
-  for (auto* list : {&home, &away}) {
+  for (auto* list : {&same_zone, &other_zones}) {
     for (std::size_t n = 0; n < std::min(list->size(), kCandidatesPerZone); ++n) {
       std::swap((*list)[n], (*list)[n + rng_() % (list->size() - n)]);
-      double l = load(*(*list)[n], peers_[(*list)[n]->id]);
-      if (!best || l < best_load) best = (*list)[n], best_load = l;
+      double candidate_load = load(*(*list)[n], databases_[(*list)[n]->id]);
+      if (!best || candidate_load < best_load) best = (*list)[n], best_load = candidate_load;
     }
   }
   return best;
 }
 
-Millis Outbound::wait_until(const Work& w) const {
-  return std::min(w.deadline, w.began + Millis(double(w.route->latency_target_ms) * kMaxQueueShare));
+Millis Outbound::queue_deadline(const PendingCall& pending) const {
+  return std::min(pending.deadline,
+                  pending.started_at + Millis(double(pending.route->latency_target_ms) * kMaxQueueShare));
 }
 
-void Outbound::next(CallId id, bool wait) {
-  Work* w = find(id);
-  if (!w) return;
-  wait = wait || int(w->full.size()) >= kMaxFullRefusals || is_crowded(*w);
-  const Instance* i = choose(*w, Room::kFree, Link::kUp);
-  if (!i) {  // all are full, or gone
-    wait = true;
-    i = choose(*w, Room::kWaiting, Link::kUp);
+void Outbound::try_next(CallId id, bool may_queue) {
+  PendingCall* pending = find_call(id);
+  if (!pending) return;
+  may_queue = may_queue || int(pending->full.size()) >= kMaxFullRefusals || is_crowded(*pending);
+  const Instance* instance = choose_instance(*pending, Place::kSlot, Link::kUp);
+  if (!instance) {  // every database is full, down or without a link
+    may_queue = true;
+    instance = choose_instance(*pending, Place::kQueue, Link::kUp);
   }
-  if (!i) i = choose(*w, Room::kWaiting, Link::kFirstAttempt);
-  if (wait && now_ >= wait_until(*w)) i = nullptr;  // it has waited as long as it may
-  if (!may_ask_another(*w)) i = nullptr;
-  if (!i) {
-    if (w->open.empty()) refuse(id);
+  if (!instance) instance = choose_instance(*pending, Place::kQueue, Link::kFirstAttempt);
+  if (may_queue && now_ >= queue_deadline(*pending)) instance = nullptr;  // no queue time left
+  if (!may_ask_another(*pending)) instance = nullptr;
+  if (!instance) {
+    if (pending->open_attempts.empty()) fail_call(id);
     return;
   }
-  send(id, *i, wait);
+  send(id, *instance, may_queue);
 }
 
-void Outbound::send(CallId id, const Instance& i, bool wait) {
-  Work& w = *find(id);
-  Peer& p = peers_[i.id];
-  ++p.since;
-  ++p.flying;
-  ++w.reached;
-  ++w.may_run;
+void Outbound::send(CallId id, const Instance& instance, bool may_queue) {
+  PendingCall& pending = *find_call(id);
+  Database& database = databases_[instance.id];
+  ++database.sent_since_report;
+  ++database.in_flight;
+  ++pending.databases_reached;
+  ++pending.possible_runs;
   std::uint64_t n = ++last_attempt_;
-  attempts_[n] = {id, i.id, i.address, now_};
-  w.open.insert(n);
-  w.tried.insert(i.id);
-  Json m{{"t", "q"},
-         {"n", n},
-         {"i", i.id.value},
-         {"m", w.call.method},
-         {"u", w.call.target},
-         {"h", fields_to_json(w.call.fields)},
-         {"b", w.call.body},
-         {"d", w.deadline - now_},
-         {"w", wait ? wait_until(w) - now_ : 0},
-         {"a", w.began + w.route->latency_target_ms - now_},
-         {"p", w.route->priority},
-         {"s", w.safe},
-         {"c", options_.caller}};
-  port_.offer(i.address, m);
+  attempts_[n] = {id, instance.id, instance.address, now_};
+  pending.open_attempts.insert(n);
+  pending.tried.insert(instance.id);
+  Json frame{{"t", "q"},
+             {"n", n},
+             {"i", instance.id.value},
+             {"m", pending.call.method},
+             {"u", pending.call.target},
+             {"h", fields_to_json(pending.call.fields)},
+             {"b", pending.call.body},
+             {"d", pending.deadline - now_},
+             {"w", may_queue ? queue_deadline(pending) - now_ : 0},
+             {"a", pending.started_at + pending.route->latency_target_ms - now_},
+             {"p", pending.route->priority},
+             {"s", pending.idempotent},
+             {"c", options_.caller}};
+  port_.offer(instance.address, frame);
 }
 
-// --- outcomes -----------------------------------------------------------------
-
-void Outbound::told(const InstanceId& id, const Json& l) {
-  if (!l.is_array() || l.size() != 4) return;
-  for (auto& v : l)
-    if (!v.is_number_unsigned() && !v.is_number_integer()) return;
-  Peer& p = peers_[id];
-  p.queued = l[1].get<double>();
-  p.told = l[0].get<double>() + p.queued;
-  p.ill = l[3].get<double>() / 100.0;
-  p.told_at = now_;
-  p.since = 0;
-  p.away.pause = 0;
+// --- outcomes of attempts -----------------------------------------------------------------
+
+void Outbound::record_load(const InstanceId& id, const Json& report) {
+  if (!report.is_array() || report.size() != 4) return;
+  for (auto& value : report)
+    if (!value.is_number_unsigned() && !value.is_number_integer()) return;
+  Database& database = databases_[id];
+  database.reported_queue = report[1].get<double>();
+  database.reported_load = report[0].get<double>() + database.reported_queue;
+  database.failure_share = report[3].get<double>() / 100.0;
+  database.reported_at = now_;
+  database.sent_since_report = 0;
+  database.backoff.pause = 0;
 }
 
-// With others waiting there it stays full for longer.
-void Outbound::note_full(Peer& peer) {
-  const double ttl_ms = double(kFullReportTtlMs) * (1 + peer.queued);
-  peer.full_until = now_ + Millis(std::clamp(ttl_ms, double(kFullReportTtlMs), double(kMaxFullReportTtlMs)));
+// A full database is expected to stay full for longer the more requests it has in its queue.
+void Outbound::record_full(Database& database) {
+  const double ttl_ms = double(kFullReportTtlMs) * (1 + database.reported_queue);
+  database.full_until =
+      now_ + Millis(std::clamp(ttl_ms, double(kFullReportTtlMs), double(kMaxFullReportTtlMs)));
 }
 
-void Outbound::note_no_room(const Work& w, const InstanceId& id) {
+void Outbound::record_no_room(const PendingCall& pending, const InstanceId& id) {
   const auto has_passed = [this](auto& until) { return until.second <= now_; };
   const Millis until = now_ + kNoRoomTtlMs;
-  for (auto* by_route : {&peers_[id].no_room_until, &crowded_until_}) {
-    std::erase_if(*by_route, has_passed);  // routes come and go
-    (*by_route)[w.route->name] = until;
+  for (auto* by_route : {&databases_[id].no_room_until, &crowded_until_}) {
+    std::erase_if(*by_route, has_passed);  // routes that have been removed would stay otherwise
+    (*by_route)[pending.route->name] = until;
   }
 }
 
-// Requests of its route were refused for want of room a moment ago: to ask one after the other for a free
-// slot would only fill the links.
-bool Outbound::is_crowded(const Work& w) const {
-  const auto crowded = crowded_until_.find(w.route->name);
+// Whether a request of the same route was refused a moment ago because its wait would have been too long.
+// Asking one database after the other for a free slot would then only load the links.
+bool Outbound::is_crowded(const PendingCall& pending) const {
+  const auto crowded = crowded_until_.find(pending.route->name);
   return crowded != crowded_until_.end() && now_ < crowded->second;
 }
 
-void Outbound::over(std::uint64_t attempt, Attempt& a) {
-  if (Work* w = find(a.call)) w->open.erase(attempt);
-  auto& p = peers_[a.instance];
-  if (p.flying > 0) --p.flying;
+void Outbound::close_attempt(std::uint64_t attempt_id, Attempt& attempt) {
+  if (PendingCall* pending = find_call(attempt.call_id)) pending->open_attempts.erase(attempt_id);
+  auto& database = databases_[attempt.instance];
+  if (database.in_flight > 0) --database.in_flight;
 }
 
-void Outbound::handle_frame(const Endpoint& from, const Json& m) {
-  auto it = attempts_.find(unsigned_field(m, "n"));
-  // A number alone could be of another life, or another's at an address that has changed hands.
-  if (it == attempts_.end() || !(it->second.at == from)) return;
-  const std::string t = text_field(m, "t");
-  if (t != "no" && t != "fail" && t != "a") return;
-  Attempt a = it->second;
+void Outbound::handle_frame(const Endpoint& from, const Json& frame) {
+  auto it = attempts_.find(unsigned_field(frame, "n"));
+  // The address is compared as well: the number alone could be one of an earlier process, or come from
+  // another sidecar that has taken over an address.
+  if (it == attempts_.end() || !(it->second.address == from)) return;
+  const std::string type = text_field(frame, "t");
+  if (type != "no" && type != "fail" && type != "a") return;
+  Attempt attempt = it->second;
   const std::uint64_t n = it->first;
-  if (m.contains("l")) told(a.instance, m["l"]);
-  Work* w = find(a.call);
-  over(n, a);
+  if (frame.contains("l")) record_load(attempt.instance, frame["l"]);
+  PendingCall* pending = find_call(attempt.call_id);
+  close_attempt(n, attempt);
   attempts_.erase(it);
-  if (!w) return;
-  CallId id = a.call;
-  if (t == "no") {  // it never came near the database
-    --w->reached;
-    --w->may_run;
-    const std::string why = text_field(m, "y");
+  if (!pending) return;
+  CallId id = attempt.call_id;
+  if (type == "no") {  // refused by the sidecar: the database has not received the request
+    --pending->databases_reached;
+    --pending->possible_runs;
+    const std::string why = text_field(frame, "y");
     if (why == "full") {
-      note_full(peers_[a.instance]);
-      if (bool_field(m, "w")) {  // it has waited as long as it may, or would have to
-        note_no_room(*w, a.instance);
-        if (w->open.empty()) refuse(id);
+      record_full(databases_[attempt.instance]);
+      if (bool_field(frame, "w")) {  // its wait in the queue expired or would have been too long
+        record_no_room(*pending, attempt.instance);
+        if (pending->open_attempts.empty()) fail_call(id);
         return;
       }
-      w->full.insert(a.instance);
-      w->tried.erase(a.instance);
+      pending->full.insert(attempt.instance);
+      pending->tried.erase(attempt.instance);
     } else {
-      leave_alone(a.instance);
+      back_off(attempt.instance);
     }
-    if (!w->open.empty()) return;
-    return next(id, false);
+    if (!pending->open_attempts.empty()) return;
+    return try_next(id, false);
   }
-  if (!std::exchange(w->counted, true)) budget_.count_first_attempt(now_);
-  if (t == "fail") return failed(id);
-  Reply r{int(clamped_field(m, "s", 0, 0, 999)), text_field(m, "b"), fields_from_json(m.value("h", Json()))};
-  if (bool_field(m, "x")) --w->may_run;  // the database's own promise that it has not run
-  // To a client these are promises, which this database has not given; below 200 or above 599 is no answer.
-  const bool promise = r.status == 408 || r.status == 421 || r.status == 429 || r.status == 503;
-  if (bool_field(m, "x") || promise || r.status < 200 || r.status > 599) return failed(id);
-  if (r.status >= 500 && r.status != 504 && w->safe) {
-    if (may_ask_another(*w) && spend(*w)) return next(id, false);
-    if (!w->open.empty()) return;
+  if (!std::exchange(pending->counted, true)) budget_.count_first_attempt(now_);
+  if (type == "fail") return attempt_failed(id);
+  Reply reply{int(clamped_field(frame, "s", 0, 0, 999)), text_field(frame, "b"),
+              fields_from_json(frame.value("h", Json()))};
+  if (bool_field(frame, "x"))
+    --pending->possible_runs;  // the database states that it has not run the request
+  // Clients take these statuses as a promise that the request has not run, which this database has not given
+  // by its Not-Executed field. A status below 200 or above 599 is not a final response.
+  const bool implies_not_run =
+      reply.status == 408 || reply.status == 421 || reply.status == 429 || reply.status == 503;
+  if (bool_field(frame, "x") || implies_not_run || reply.status < 200 || reply.status > 599)
+    return attempt_failed(id);
+  if (reply.status >= 500 && reply.status != 504 && pending->idempotent) {
+    if (may_ask_another(*pending) && spend_retry(*pending)) return try_next(id, false);
+    if (!pending->open_attempts.empty()) return;
   }
-  if (r.status < 400) {
-    auto& u = usual_[w->route->name];
-    double took = double(now_ - w->began);
-    u.mean = u.mean == 0 ? took : u.mean + (took - u.mean) * kResponseTimeWeight;
-    u.deviation =
-        u.deviation == 0 ? took : u.deviation + (std::abs(took - u.mean) - u.deviation) * kResponseTimeWeight;
+  if (reply.status < 400) {
+    auto& times = response_times_[pending->route->name];
+    double took_ms = double(now_ - pending->started_at);
+    times.mean = times.mean == 0 ? took_ms : times.mean + (took_ms - times.mean) * kResponseTimeWeight;
+    times.deviation =
+        times.deviation == 0
+            ? took_ms
+            : times.deviation + (std::abs(took_ms - times.mean) - times.deviation) * kResponseTimeWeight;
   }
-  finish(id, std::move(r));
+  finish(id, std::move(reply));
 }
 
-// The one rule for a second database: only what may run twice, or has not run at the first.
-bool Outbound::may_ask_another(const Work& w) const {
-  return (w.safe || w.may_run == 0) && w.reached < w.route->max_attempts && now_ < w.deadline;
+// The only rule for sending a request to a second database: it is idempotent, or the first has not run it.
+bool Outbound::may_ask_another(const PendingCall& pending) const {
+  return (pending.idempotent || pending.possible_runs == 0) &&
+         pending.databases_reached < pending.route->max_attempts && now_ < pending.deadline;
 }
 
-// One database has failed it.
-void Outbound::failed(CallId id) {
-  Work* w = find(id);
-  if (!w || !w->open.empty()) return;  // another one still works on it
-  if (may_ask_another(*w) && (w->reached == 0 || spend(*w))) return next(id, false);
-  refuse(id);
+// An attempt has ended without a usable response.
+void Outbound::attempt_failed(CallId id) {
+  PendingCall* pending = find_call(id);
+  if (!pending || !pending->open_attempts.empty()) return;  // another attempt is still open
+  if (may_ask_another(*pending) && (pending->databases_reached == 0 || spend_retry(*pending)))
+    return try_next(id, false);
+  fail_call(id);
 }
 
-// One more database, out of the budget.
-bool Outbound::spend(Work& w) {
-  if (!std::exchange(w.counted, true)) budget_.count_first_attempt(now_);
+// Takes one retry out of the budget; false if it is exhausted.
+bool Outbound::spend_retry(PendingCall& pending) {
+  if (!std::exchange(pending.counted, true)) budget_.count_first_attempt(now_);
   return budget_.try_spend(now_);
 }
 
@@ -320,53 +343,55 @@
   until = now + pause;
 }
 
-void Outbound::leave_alone(const InstanceId& id) {
-  peers_[id].away.extend(now_);
+void Outbound::back_off(const InstanceId& id) {
+  databases_[id].backoff.extend(now_);
 }
 
-void Outbound::refuse(CallId id) {
-  Work* w = find(id);
-  if (w->may_run > 0) return finish(id, local_reply(502));
+void Outbound::fail_call(CallId id) {
+  PendingCall* pending = find_call(id);
+  if (pending->possible_runs > 0) return finish(id, local_reply(502));
   finish(id, local_reply(503, kRetryAfterMs));
 }
 
-// An answer is missed: a second database is asked, and the first to answer counts.
+// The response takes longer than usual: the request is also sent to a second database, and the first response
+// counts.
 void Outbound::on_hedge(CallId id) {
-  Work* w = find(id);
-  if (!w || w->hedged || w->reached == 0 || !may_ask_another(*w)) return;
-  if (!spend(*w)) return;
-  w->hedged = true;
-  next(id, false);
+  PendingCall* pending = find_call(id);
+  if (!pending || pending->hedged || pending->databases_reached == 0 || !may_ask_another(*pending)) return;
+  if (!spend_retry(*pending)) return;
+  pending->hedged = true;
+  try_next(id, false);
 }
 
-// Takes back what has no outcome. What had not left has not run, and will not.
-void Outbound::withdraw(Work& w) {
-  for (auto n : std::exchange(w.open, {})) {
+// Withdraws all attempts without an outcome. An offer that had not left this machine has not run and will
+// not.
+void Outbound::withdraw_attempts(PendingCall& pending) {
+  for (auto n : std::exchange(pending.open_attempts, {})) {
     auto it = attempts_.find(n);
     if (it == attempts_.end()) continue;
-    if (port_.withdraw(it->second.at, n)) --w.reached, --w.may_run;
-    auto& p = peers_[it->second.instance];
-    if (p.flying > 0) --p.flying;
+    if (port_.withdraw(it->second.address, n)) --pending.databases_reached, --pending.possible_runs;
+    auto& database = databases_[it->second.instance];
+    if (database.in_flight > 0) --database.in_flight;
     attempts_.erase(it);
   }
 }
 
-void Outbound::finish(CallId id, Reply r) {
-  Work* w = find(id);
-  timers_.cancel(w->timer);
-  timers_.cancel(w->hedge);
-  withdraw(*w);
-  works_.erase(id);
-  if (r.status != 0) port_.answer(id, std::move(r));
+void Outbound::finish(CallId id, Reply reply) {
+  PendingCall* pending = find_call(id);
+  timers_.cancel(pending->deadline_timer);
+  timers_.cancel(pending->hedge_timer);
+  withdraw_attempts(*pending);
+  calls_.erase(id);
+  if (reply.status != 0) port_.answer(id, std::move(reply));
 }
 
 void Outbound::fail_pending() {
   accepting_ = false;
   std::vector<CallId> open;
-  for (auto& [id, work] : works_) open.push_back(id);
+  for (auto& [id, work] : calls_) open.push_back(id);
   for (auto id : open) {
-    withdraw(works_[id]);
-    refuse(id);
+    withdraw_attempts(calls_[id]);
+    fail_call(id);
   }
 }
 
@@ -374,18 +399,18 @@
   shutting_down_peers_.erase(at);
   unreachable_[at].extend(now_);
   std::vector<std::uint64_t> lost;
-  for (auto& [n, a] : attempts_)
-    if (a.at == at) lost.push_back(n);
+  for (auto& [n, attempt] : attempts_)
+    if (attempt.address == at) lost.push_back(n);
   for (auto n : lost) {
     auto it = attempts_.find(n);
     if (it == attempts_.end()) continue;
-    Attempt a = it->second;
-    over(n, a);
+    Attempt attempt = it->second;
+    close_attempt(n, attempt);
     attempts_.erase(it);
-    Work* w = find(a.call);
-    if (!w) continue;
-    if (!sent) --w->reached, --w->may_run;
-    failed(a.call);
+    PendingCall* pending = find_call(attempt.call_id);
+    if (!pending) continue;
+    if (!sent) --pending->databases_reached, --pending->possible_runs;
+    attempt_failed(attempt.call_id);
   }
 }
 
--- a/src/sidecar/pipeline.h
+++ b/src/sidecar/pipeline.h
@@ -1,5 +1,5 @@
-// One client's connection: its requests as they are read, and its answers in the order of the requests. No
-// I/O.
+// Parses the pipelined requests of one client connection and releases the responses in the order of the
+// requests. Does no I/O of its own.
 #pragma once
 #include <deque>
 
@@ -15,36 +15,39 @@
     CallId id;
     Call call;
   };
-  // Takes what was received; the ids of new requests are drawn from `last`. What may be written now is added
-  // to `out`.
-  std::vector<NewCall> read(std::string_view bytes, CallId& last, std::string& out);
-  // What may be written now that this is answered: whole answers only, in their order.
-  std::string answer(CallId id, Reply r);
-  // No request is read beyond those that have begun; the last answer closes.
+  // Parses received bytes and returns the complete requests; their ids count up from `last_id`. Responses
+  // that can be written now are appended to `out`.
+  std::vector<NewCall> read(std::string_view bytes, CallId& last_id, std::string& out);
+  // Stores the response to a request. Returns the responses that can be written now, each of them whole, in
+  // the order of the requests. A second response to the same request is ignored.
+  std::string answer(CallId id, Reply reply);
+  // Reads no request after those that have begun; the last response closes the connection.
   void drain() { draining_ = true; }
-  void set_limits(const Limits& l);
+  // Applies new limits, unless a request is being read.
+  void set_limits(const Limits& limits);
 
-  // What the client has to do next, and so the limit that counts.
+  // What the client has to send next, which decides the timeout that applies. kNothing: the client waits for
+  // a response, or the connection is closing.
   enum class Awaiting { kNothing, kHead, kBody, kRequest };
   Awaiting awaiting() const;
-  // It took too long over it. What may be written now; nothing more is read.
+  // The client took too long to send that. Returns what can be written now; nothing more is read.
   std::string on_timeout();
-  bool is_finished() const { return closing_ && places_.empty(); }  // to be closed once all is written
-  bool is_idle() const { return places_.empty() && !reader_.begun(); }
-  std::size_t pending_count() const { return places_.size(); }
-  std::vector<CallId> unanswered() const;  // requests without an answer
+  bool is_finished() const { return closing_ && entries_.empty(); }  // close it once all is written
+  bool is_idle() const { return entries_.empty() && !reader_.begun(); }
+  std::size_t pending_count() const { return entries_.size(); }
+  std::vector<CallId> unanswered() const;  // requests without a response
 
  private:
-  struct Place {  // in the order of the requests
+  struct Entry {  // in the order of the requests
     CallId id = 0;
-    bool done = false, no_body = false;
+    bool answered = false, no_body = false;
     Reply reply;
   };
-  void refuse(int status);
-  void take(HttpMessage m, CallId& last, std::vector<NewCall>& asked);
+  void reject(int status);
+  void accept_request(HttpMessage message, CallId& last_id, std::vector<NewCall>& new_calls);
   std::string flush();
   HttpReader reader_;
-  std::deque<Place> places_;
+  std::deque<Entry> entries_;
   bool closing_ = false, draining_ = false;
 };
 
--- a/src/sidecar/retry_budget.h
+++ b/src/sidecar/retry_budget.h
@@ -1,6 +1,6 @@
-// What this node may send to a second database: its own share of the fleet's budget. Each node keeps to what
-// its own first tries earn, over a sliding window, so that the sum over all nodes keeps to the fleet's bound
-// without a message.
+// The share of the fleet's retry budget that this node may use to send requests to a second database. Each
+// node limits its retries to a ratio of its own first attempts within a sliding window, so the sum over all
+// nodes stays within the limit of the fleet without any communication.
 #pragma once
 #include <algorithm>
 #include <deque>
@@ -14,36 +14,37 @@
 class RetryBudget {
  public:
   RetryBudget(double ratio, Millis window_ms) : ratio_(ratio * kRetryBudgetShare), window_ms_(window_ms) {}
-  // Of the fleet's slack, what falls to this node.
+  // Retries that this node may always send within a window, whatever its first attempts: its part of the
+  // fleet's slack.
   void set_slack(double slack) { slack_ = slack * kRetryBudgetShare; }
   void count_first_attempt(Millis now) {
-    ++slot(now).firsts;
-    ++firsts_;
+    ++slot(now).first_attempts;
+    ++first_attempts_;
   }
-  // Whether one more may go to a second database; if so, it is counted.
+  // Whether one more request may be sent to a second database. If so, it is counted.
   bool try_spend(Millis now) {
     Slot& s = slot(now);
-    if (double(spent_ + 1) > ratio_ * double(firsts_) + slack_) return false;
-    ++s.spent;
-    ++spent_;
+    if (double(retries_ + 1) > ratio_ * double(first_attempts_) + slack_) return false;
+    ++s.retries;
+    ++retries_;
     return true;
   }
 
  private:
   struct Slot {
     Millis at = 0;
-    long firsts = 0, spent = 0;
+    long first_attempts = 0, retries = 0;
   };
   Slot& slot(Millis now) {
-    // A slot's first tries leave with its oldest moment, its repeats with its newest: never too much is
-    // counted.
+    // The first attempts of a slot expire once its start is out of the window, its retries only once its end
+    // is: the budget is never overestimated.
     while (!slots_.empty() && slots_.front().at + window_ms_ + kRetryBudgetSlotMs <= now) {
-      spent_ -= slots_.front().spent;
+      retries_ -= slots_.front().retries;
       slots_.pop_front();
     }
     for (auto& s : slots_) {
       if (s.at + window_ms_ > now) break;
-      firsts_ -= std::exchange(s.firsts, 0);
+      first_attempts_ -= std::exchange(s.first_attempts, 0);
     }
     if (slots_.empty() || now >= slots_.back().at + kRetryBudgetSlotMs)
       slots_.push_back({now / kRetryBudgetSlotMs * kRetryBudgetSlotMs, 0, 0});
@@ -52,7 +53,7 @@
   double ratio_, slack_ = 0;
   Millis window_ms_;
   std::deque<Slot> slots_;
-  long firsts_ = 0, spent_ = 0;
+  long first_attempts_ = 0, retries_ = 0;
 };
 
 }  // namespace pebblespindle::sidecar
