--- a/src/pooler/control_feed.cc
+++ b/src/pooler/control_feed.cc
@@ -33,8 +33,8 @@
   return false;
 }
 
-// A lease counts from before it was asked for. One that was asked for over another link is not ours: the core
-// was told that its holder is gone.
+// A lease is counted from the time at which this node requested it. A lease requested over an earlier link is
+// ignored, because the controller has been told that its holder is gone.
 void ControlFeed::apply_grant(Millis now, const Json& m) {
   const Millis at = field<Millis>(m, "at", -1), ms = field<Millis>(m, "ms", 0);
   const Millis clock = field<Millis>(m, "c", 0);
@@ -48,8 +48,7 @@
   const Millis at = field<Millis>(m, "at", -1), age = field<Millis>(m, "age", -1);
   auto p = Position::parse(field<std::string>(m, "p", ""));
   if (!requested_on_this_link(now, at)) return;
-  if (age < 0 || age > kMaxPositionAgeMs)
-    p.reset();  // it is told without one, or with none that could be used
+  if (age < 0 || age > kMaxPositionAgeMs) p.reset();  // no position, or one too old for any route
   engine_.on_position_reply(field<std::string>(m, "s", ""), p ? at - age : at, p);
 }
 
--- a/src/pooler/control_feed.h
+++ b/src/pooler/control_feed.h
@@ -1,4 +1,5 @@
-// What a pooler is told by its core, over the agent: read, checked, and handed to the engine. No I/O.
+// Parses and checks the messages that the controller sends to a pooler through the agent, and passes them to
+// the engine. Does no I/O.
 #pragma once
 #include "pooler/engine.h"
 
@@ -7,12 +8,13 @@
 class ControlFeed {
  public:
   explicit ControlFeed(Engine& engine) : engine_(engine) {}
-  // The link to the agent is another one: what answers questions of former links, or of a former life of
-  // this process, is void.
+  // Called when a new link to the agent is up. Replies to requests from earlier links, or from an earlier run
+  // of this process, are ignored from then on.
   void on_link_up(Millis now) { link_up_at_ = now; }
-  // A line of the agent. True: the control state may have moved, and is to be acknowledged.
+  // Handles one line from the agent. Returns true if the control state may have changed, so that the caller
+  // acknowledges it.
   bool handle_line(Millis now, std::string_view line);
-  const quota::HolderId& controller() const { return controller_; }  // the core that last gave rights
+  const quota::HolderId& controller() const { return controller_; }  // the controller that last granted quota
 
  private:
   bool requested_on_this_link(Millis now, Millis at) const { return at >= link_up_at_ && at <= now; }
--- a/src/pooler/engine.cc
+++ b/src/pooler/engine.cc
@@ -1,4 +1,4 @@
-// Sessions: what clients say, and what they are told.
+// The client side of the engine: sessions, transactions and the answers that clients get.
 #include "pooler/engine.h"
 
 #include <algorithm>
@@ -25,28 +25,28 @@
 }
 
 void Engine::on_client_line(SessionId id, std::string_view line) {
-  Session* s = find_session(id);
-  if (!s || s->closing) return;
-  if (!s->connect_received) {
+  Session* session = find_session(id);
+  if (!session || session->closing) return;
+  if (!session->connect_received) {
     auto rest = line;
     if (sql_protocol::take(rest) != "CONNECT") {
       callbacks_.send_to_client(id, sql_protocol::error("MALFORMED", "CONNECT comes first"));
       return close_session(id);
     }
-    s->host = std::string(sql_protocol::take(rest));
-    s->key = std::string(rest);
+    session->host = std::string(sql_protocol::take(rest));
+    session->key = std::string(rest);
     if (sessions_.size() > std::size_t(kMaxSessions)) {
       callbacks_.send_to_client(id, sql_protocol::error("CONNLIMIT", "too many sessions here"));
       return close_session(id);
     }
     if (cluster_.has_configuration() && lease_until_ > 0) return complete_connect(id);
-    // Just started: which databases there are is not known yet, or no primary may be asked.
+    // This node has just started and has no configuration yet, or no lease with which to use a primary.
     waiting_for_state_.push_back(id);
-    s->connect_received = s->busy = true;
-    s->rest_timer = timers_.at(now_ + kInitialFeedWaitMs, [this, id] {
-      Session* x = find_session(id);
-      if (!x) return;
-      x->rest_timer = 0;
+    session->connect_received = session->busy = true;
+    session->rest_timer = timers_.at(now_ + kInitialFeedWaitMs, [this, id] {
+      Session* live_session = find_session(id);
+      if (!live_session) return;
+      live_session->rest_timer = 0;
       if (cluster_.has_configuration()) return complete_connect(id);
       callbacks_.send_to_client(
           id, sql_protocol::error("THROTTLED", "retry-after-ms=" + std::to_string(kInitialFeedWaitMs) +
@@ -55,8 +55,8 @@
     });
     return;
   }
-  s->lines.push_back({std::string(line), !accepting_statements_});
-  s->queued_bytes += line.size();
+  session->lines.push_back({std::string(line), !accepting_statements_});
+  session->queued_bytes += line.size();
   process_lines(id);
 }
 
@@ -65,18 +65,18 @@
 }
 
 void Engine::complete_connect(SessionId id) {
-  Session* s = find_session(id);
-  if (!s) return;
-  timers_.cancel(s->rest_timer);
-  std::erase(waiting_for_state_, id);  // once: a second greeting would be an answer to nothing
-  if (!cluster_.route(s->host)) {
-    auto [code, text] = no_route_error(s->host);
+  Session* session = find_session(id);
+  if (!session) return;
+  timers_.cancel(session->rest_timer);
+  std::erase(waiting_for_state_, id);  // a second IDLE would be an answer without a request
+  if (!cluster_.route(session->host)) {
+    auto [code, text] = no_route_error(session->host);
     callbacks_.send_to_client(id, sql_protocol::error(code, text));
     return close_session(id);
   }
-  s->route = cluster_.route(s->host);
-  bool known = authorize(*s);
-  s->route = nullptr;
+  session->route = cluster_.route(session->host);
+  bool known = authorize(*session);
+  session->route = nullptr;
   if (!known) {
     callbacks_.send_to_client(
         id, has_lease()
@@ -85,24 +85,25 @@
                                                        " this node has no news"));
     return close_session(id);
   }
-  s->connect_received = true;
-  s->busy = false;
+  session->connect_received = true;
+  session->busy = false;
   callbacks_.send_to_client(id, sql_protocol::idle('I', "-"));
-  resume_session(*s);
+  resume_session(*session);
 }
 
-// Who asks, as the configuration stands now; false: the route wants a key, and this one is nobody's.
-bool Engine::authorize(Session& s) {
-  s.tenant.clear();
-  s.charged = false;
-  if (cluster_.configuration().tenants.empty() || s.route->is_public) return true;
-  const Tenant* t = cluster_.tenant_with_key(s.key);
-  if (t) s.tenant = t->name;
-  return t != nullptr;
+// Sets the session's tenant by its key, in the current configuration. Returns false if the route requires a
+// key and no tenant has this one.
+bool Engine::authorize(Session& session) {
+  session.tenant.clear();
+  session.charged = false;
+  if (cluster_.configuration().tenants.empty() || session.route->is_public) return true;
+  const Tenant* tenant = cluster_.tenant_with_key(session.key);
+  if (tenant) session.tenant = tenant->name;
+  return tenant != nullptr;
 }
 
-// Whether a route is missing or has not been heard of: without a lease, or behind the change it names, this
-// node cannot tell, and says only that nothing was done.
+// The error for a host without a route. Without a valid lease the configuration here may be old, so that the
+// route may exist: the client is then only told that nothing was done and to retry.
 std::pair<std::string, std::string> Engine::no_route_error(const std::string& host) const {
   if (has_lease()) return {"NODATABASE", host};
   return {"THROTTLED", "retry-after-ms=" + std::to_string(kNodeRenewalMs) + " this node has no news"};
@@ -121,35 +122,36 @@
 }
 
 void Engine::on_client_closed(SessionId id) {
-  Session* s = find_session(id);
-  if (s) close_session(id);
+  Session* session = find_session(id);
+  if (session) close_session(id);
 }
 
-// Ends a session from this side or after its client has gone. Whatever runs for it ends at the database
-// first.
+// Ends a session, from this side or because its client has gone. A statement that is running for it ends at
+// the database before the connection is reused.
 void Engine::close_session(SessionId id) {
-  Session* s = find_session(id);
-  if (!s) return;
-  clear_statement(*s);
-  timers_.cancel(s->rest_timer);
+  Session* session = find_session(id);
+  if (!session) return;
+  clear_statement(*session);
+  timers_.cancel(session->rest_timer);
   std::erase(waiting_for_state_, id);
-  ConnectionId conn = s->conn;
+  ConnectionId conn = session->conn;
   sessions_.erase(id);
   callbacks_.close_client(id);
-  if (Connection* c = find_connection(conn)) detach_connection(*c);
+  if (Connection* connection = find_connection(conn)) detach_connection(*connection);
 }
 
-// A connection whose session has no more use for it: it ends what it does, within a bound, and goes back.
-void Engine::detach_connection(Connection& c) {
-  c.session = 0;
-  if (c.stage == Connection::Stage::kIdle) {
-    if (c.in_tx) return send_next_step(c);
-    return return_connection(c);
+// Separates a connection from its session. The connection finishes its current step, within a time limit, and
+// returns to the pool.
+void Engine::detach_connection(Connection& connection) {
+  connection.session = 0;
+  if (connection.stage == Connection::Stage::kIdle) {
+    if (connection.in_tx) return send_next_step(connection);
+    return return_connection(connection);
   }
-  c.setup_steps.clear();
-  timers_.cancel(c.timer);
-  c.timer = timers_.at(now_ + kAbandonedStatementTimeoutMs,
-                       [this, id = c.id] { on_connection_lost(id, false, false); });
+  connection.setup_steps.clear();
+  timers_.cancel(connection.timer);
+  connection.timer = timers_.at(now_ + kAbandonedStatementTimeoutMs,
+                                [this, id = connection.id] { on_connection_lost(id, false, false); });
 }
 
 void Engine::resume_session(Session& session) {
@@ -158,212 +160,217 @@
   close_if_done(id);
 }
 
-// Until one of them has to wait for a database.
+// Handles queued lines until one of them has to wait for a database.
 void Engine::process_lines(SessionId id) {
-  for (Session* s = find_session(id); s && !s->busy && !s->closing && !s->lines.empty();
-       s = find_session(id)) {
-    const QueuedLine line = std::move(s->lines.front());
-    s->lines.pop_front();
-    s->queued_bytes -= line.text.size();
-    handle_line(*s, line.text, line.late);
+  for (Session* session = find_session(id);
+       session && !session->busy && !session->closing && !session->lines.empty();
+       session = find_session(id)) {
+    const QueuedLine line = std::move(session->lines.front());
+    session->lines.pop_front();
+    session->queued_bytes -= line.text.size();
+    handle_line(*session, line.text, line.late);
   }
 }
 
-// A node that ends closes its sessions once they have their last answer.
+// During a shutdown, closes a session once it has its last answer.
 void Engine::close_if_done(SessionId id) {
-  const Session* s = find_session(id);
-  if (!s || s->busy || !s->lines.empty()) return;
-  if (!accepting_statements_ || (closing_idle_ && s->state == 'I')) close_session(id);
+  const Session* session = find_session(id);
+  if (!session || session->busy || !session->lines.empty()) return;
+  if (!accepting_statements_ || (closing_idle_ && session->state == 'I')) close_session(id);
 }
 
-void Engine::handle_line(Session& s, std::string_view line, bool late) {
+void Engine::handle_line(Session& session, std::string_view line, bool late) {
   auto word = sql_protocol::take(line);
-  if (word == "CLOSE") return close_session(s.id);
-  if (word != "QUERY") return fail_statement(s, "MALFORMED", "not a message of a session");
+  if (word == "CLOSE") return close_session(session.id);
+  if (word != "QUERY") return fail_statement(session, "MALFORMED", "not a message of a session");
   auto id = sql_protocol::take(line);
   auto st = sql_protocol::parse_statement(line);
-  if (id.empty() || st.verb == Verb::kBad) return fail_statement(s, "MALFORMED", "not a statement");
-  if (s.state == 'E') {
+  if (id.empty() || st.verb == Verb::kBad) return fail_statement(session, "MALFORMED", "not a statement");
+  if (session.state == 'E') {
     if (st.verb == Verb::kRollback) {
-      end_transaction(s, 'I');
-      return send_answer(s, "COMPLETE -\r\n");
+      end_transaction(session, 'I');
+      return send_answer(session, "COMPLETE -\r\n");
     }
     if (st.verb == Verb::kCommit) {
-      end_transaction(s, 'I');
-      return send_answer(s, sql_protocol::error("ABORTED", "the transaction had failed and is rolled back"));
+      end_transaction(session, 'I');
+      return send_answer(session,
+                         sql_protocol::error("ABORTED", "the transaction had failed and is rolled back"));
     }
-    return fail_statement(s, "MALFORMED", "the transaction has failed; end it first");
+    return fail_statement(session, "MALFORMED", "the transaction has failed; end it first");
   }
-  if (late && st.verb != Verb::kRollback) return refuse_late(s, st.verb);
+  if (late && st.verb != Verb::kRollback) return refuse_late(session, st.verb);
   switch (st.verb) {
     case Verb::kBegin: {
-      if (s.state == 'T') return fail_statement(s, "MALFORMED", "a transaction is open");
-      s.route = cluster_.route(s.host);
-      if (!s.route) return fail_no_route(s);
-      if (!authorize(s)) return fail_statement(s, "DENIED", "the key is not known");
-      s.state = 'T';
-      s.tx_read_only = st.read_only;
-      s.tx_answered = s.tx_wrote = s.tx_lost = false;
-      return send_answer(s, "COMPLETE -\r\n");  // a database sees it with the first statement
+      if (session.state == 'T') return fail_statement(session, "MALFORMED", "a transaction is open");
+      session.route = cluster_.route(session.host);
+      if (!session.route) return fail_no_route(session);
+      if (!authorize(session)) return fail_statement(session, "DENIED", "the key is not known");
+      session.state = 'T';
+      session.tx_read_only = st.read_only;
+      session.tx_answered = session.tx_wrote = session.tx_lost = false;
+      return send_answer(session, "COMPLETE -\r\n");  // sent to a database with the first statement
     }
     case Verb::kRollback:
-      if (s.state != 'T') return fail_statement(s, "MALFORMED", "no transaction is open");
-      end_transaction(s, 'I');
-      return send_answer(s, "COMPLETE -\r\n");
+      if (session.state != 'T') return fail_statement(session, "MALFORMED", "no transaction is open");
+      end_transaction(session, 'I');
+      return send_answer(session, "COMPLETE -\r\n");
     case Verb::kCommit:
-      if (s.state != 'T') return fail_statement(s, "MALFORMED", "no transaction is open");
-      return start_statement(s, id, line, st);
+      if (session.state != 'T') return fail_statement(session, "MALFORMED", "no transaction is open");
+      return start_statement(session, id, line, st);
     case Verb::kConfigure:
     case Verb::kPrepare:
     case Verb::kRelease:
-      return handle_local_statement(s, st);
+      return handle_local_statement(session, st);
     default:
-      return start_statement(s, id, line, st);
+      return start_statement(session, id, line, st);
   }
 }
 
-// A statement that came too late to be run here. Nothing of it, nor of its transaction, is kept.
-void Engine::refuse_late(Session& s, Verb verb) {
-  if (s.state != 'T')
-    return fail_statement(s, "THROTTLED",
+// Refuses a statement that arrived after this node stopped accepting them. Nothing of the statement or of its
+// transaction is kept.
+void Engine::refuse_late(Session& session, Verb verb) {
+  if (session.state != 'T')
+    return fail_statement(session, "THROTTLED",
                           "retry-after-ms=" + std::to_string(kShutdownRetryMs) + " this node is ending");
-  end_transaction(s, verb == Verb::kCommit ? 'I' : 'E');
-  send_answer(s, sql_protocol::error("ABORTED", "this node is ending; nothing of the transaction is kept"));
+  end_transaction(session, verb == Verb::kCommit ? 'I' : 'E');
+  send_answer(session,
+              sql_protocol::error("ABORTED", "this node is ending; nothing of the transaction is kept"));
 }
 
-void Engine::handle_local_statement(Session& s, const sql_protocol::Statement& st) {
+void Engine::handle_local_statement(Session& session, const sql_protocol::Statement& st) {
   std::string name(st.name);
-  bool room = s.values.size() + s.prepared.size() < kMaxSessionValues;
-  auto value = s.values.find(name);
-  auto shape = s.prepared.find(name);
+  bool room = session.values.size() + session.prepared.size() < kMaxSessionValues;
+  auto value = session.values.find(name);
+  auto shape = session.prepared.find(name);
   bool configure = st.verb == Verb::kConfigure,
-       fresh = configure ? value == s.values.end() : shape == s.prepared.end();
+       fresh = configure ? value == session.values.end() : shape == session.prepared.end();
   std::size_t old = fresh ? 0 : name.size() + (configure ? value->second.size() : shape->second.shape.size());
   if (st.verb == Verb::kRelease) {
-    if (fresh) return fail_statement(s, "NOTFOUND", name);
-    s.stored_bytes -= old;
-    s.prepared.erase(shape);
-    return send_answer(s, "COMPLETE -\r\n");
+    if (fresh) return fail_statement(session, "NOTFOUND", name);
+    session.stored_bytes -= old;
+    session.prepared.erase(shape);
+    return send_answer(session, "COMPLETE -\r\n");
   }
-  std::size_t kept = s.stored_bytes - old + name.size() + st.rest.size();
+  std::size_t kept = session.stored_bytes - old + name.size() + st.rest.size();
   if ((fresh && !room) || kept > kMaxSessionBytes)
-    return fail_statement(s, "MALFORMED", "too many values or prepared names in one session");
-  s.stored_bytes = kept;
+    return fail_statement(session, "MALFORMED", "too many values or prepared names in one session");
+  session.stored_bytes = kept;
   if (configure)
-    s.values[name] = std::string(st.rest);
+    session.values[name] = std::string(st.rest);
   else
-    s.prepared[name] = {st.read_only, std::string(st.rest)};
-  send_answer(s, "COMPLETE -\r\n");
-}
-
-void Engine::send_answer(Session& s, std::string body) {
-  body += sql_protocol::idle(s.state, "-");
-  timers_.cancel(s.rest_timer);
-  if (s.state != 'I') {
-    s.rest_timer =
-        timers_.at(now_ + cluster_.configuration().limits.transaction_idle_timeout_ms, [this, id = s.id] {
-          if (Session* x = find_session(id)) {
-            x->rest_timer = 0;
-            discard_transaction(*x);
-          }
-        });
+    session.prepared[name] = {st.read_only, std::string(st.rest)};
+  send_answer(session, "COMPLETE -\r\n");
+}
+
+void Engine::send_answer(Session& session, std::string body) {
+  body += sql_protocol::idle(session.state, "-");
+  timers_.cancel(session.rest_timer);
+  if (session.state != 'I') {
+    session.rest_timer = timers_.at(now_ + cluster_.configuration().limits.transaction_idle_timeout_ms,
+                                    [this, id = session.id] {
+                                      if (Session* live_session = find_session(id)) {
+                                        live_session->rest_timer = 0;
+                                        discard_transaction(*live_session);
+                                      }
+                                    });
   }
-  callbacks_.send_to_client(s.id, std::move(body));
+  callbacks_.send_to_client(session.id, std::move(body));
 }
 
-void Engine::fail_statement(Session& s, std::string_view code, std::string_view text) {
-  if (s.state == 'T') {
-    // A failed statement fails its transaction; the database's side of it is rolled back at once.
-    end_transaction(s, 'E');
+void Engine::fail_statement(Session& session, std::string_view code, std::string_view text) {
+  if (session.state == 'T') {
+    // A failed statement fails its transaction, which is rolled back at the database at once.
+    end_transaction(session, 'E');
   }
-  send_answer(s, sql_protocol::error(code, text));
+  send_answer(session, sql_protocol::error(code, text));
 }
 
-void Engine::fail_no_route(Session& s) {
-  auto [code, text] = no_route_error(s.host);
-  fail_statement(s, code, text);
+void Engine::fail_no_route(Session& session) {
+  auto [code, text] = no_route_error(session.host);
+  fail_statement(session, code, text);
 }
 
-// The transaction is over here; what is left of it at a database is rolled back.
-void Engine::end_transaction(Session& s, char state) {
-  s.state = state;
-  s.tx_lost = false;
-  if (state == 'I') s.route = nullptr;
-  ConnectionId conn = s.conn;
-  s.conn = 0;
-  if (Connection* c = find_connection(conn)) detach_connection(*c);
+// Ends the transaction for the session; if it is still open at a database, it is rolled back there.
+void Engine::end_transaction(Session& session, char state) {
+  session.state = state;
+  session.tx_lost = false;
+  if (state == 'I') session.route = nullptr;
+  ConnectionId conn = session.conn;
+  session.conn = 0;
+  if (Connection* connection = find_connection(conn)) detach_connection(*connection);
 }
 
-// Rests too long, or its database has gone: the next statement learns of it.
-void Engine::discard_transaction(Session& s) {
-  if (s.busy || s.state != 'T') return;
-  end_transaction(s, 'T');
-  s.tx_lost = true;
+// Ends the transaction of an idle session, because it was idle for too long or its database is gone. The next
+// statement of the session gets the error.
+void Engine::discard_transaction(Session& session) {
+  if (session.busy || session.state != 'T') return;
+  end_transaction(session, 'T');
+  session.tx_lost = true;
 }
 
-void Engine::start_statement(Session& s, std::string_view id, std::string_view text,
+void Engine::start_statement(Session& session, std::string_view id, std::string_view text,
                              const sql_protocol::Statement& st) {
-  if (s.tx_lost) {
+  if (session.tx_lost) {
     bool commit = st.verb == Verb::kCommit;
-    end_transaction(s, commit ? 'I' : 'E');
-    return send_answer(s,
+    end_transaction(session, commit ? 'I' : 'E');
+    return send_answer(session,
                        sql_protocol::error("ABORTED", "the transaction was ended and nothing of it is kept"));
   }
-  StatementState w;
-  w.read = st.verb == Verb::kFetch;
+  StatementState statement;
+  statement.read = st.verb == Verb::kFetch;
   if (st.verb == Verb::kExecute) {
-    auto p = s.prepared.find(std::string(st.name));
-    if (p == s.prepared.end()) return fail_statement(s, "NOTFOUND", st.name);
-    w.read = p->second.read;
-    w.prepared_shape = p->second.shape;
-    w.execute_arguments = std::string(st.rest);
+    auto p = session.prepared.find(std::string(st.name));
+    if (p == session.prepared.end()) return fail_statement(session, "NOTFOUND", st.name);
+    statement.read = p->second.read;
+    statement.prepared_shape = p->second.shape;
+    statement.execute_arguments = std::string(st.rest);
   }
-  if (s.state == 'I') {
-    s.route = cluster_.route(s.host);
-    if (!s.route) return fail_no_route(s);
-    if (!authorize(s)) return fail_statement(s, "DENIED", "the key is not known");
-    s.tx_answered = s.tx_wrote = false;
+  if (session.state == 'I') {
+    session.route = cluster_.route(session.host);
+    if (!session.route) return fail_no_route(session);
+    if (!authorize(session)) return fail_statement(session, "DENIED", "the key is not known");
+    session.tx_answered = session.tx_wrote = false;
   }
-  ++route_counts_[s.route->name].requests;
-  w.active = true;
-  w.id = std::string(id);
-  w.text = std::string(text);
-  w.verb = st.verb;
-  w.started_at = now_;
-  w.deadline = now_ + s.route->timeout_ms;
-  s.statement = std::move(w);
-  s.busy = true;
-  timers_.cancel(s.rest_timer);
-  SessionId sid = s.id;
-  s.statement.deadline_timer = timers_.at(s.statement.deadline, [this, sid] {
-    if (Session* x = find_session(sid)) {
-      x->statement.deadline_timer = 0;
+  ++route_counts_[session.route->name].requests;
+  statement.active = true;
+  statement.id = std::string(id);
+  statement.text = std::string(text);
+  statement.verb = st.verb;
+  statement.started_at = now_;
+  statement.deadline = now_ + session.route->timeout_ms;
+  session.statement = std::move(statement);
+  session.busy = true;
+  timers_.cancel(session.rest_timer);
+  SessionId sid = session.id;
+  session.statement.deadline_timer = timers_.at(session.statement.deadline, [this, sid] {
+    if (Session* live_session = find_session(sid)) {
+      live_session->statement.deadline_timer = 0;
       on_deadline(sid);
     }
   });
   charge_quota(sid);
 }
 
-// An operation is counted once, with its first statement that goes to a database.
+// Charges an operation to its tenant once, with its first statement that goes to a database.
 void Engine::charge_quota(SessionId id) {
-  Session& s = *find_session(id);
-  auto it = cluster_.configuration().tenants.find(s.tenant);
+  Session& session = *find_session(id);
+  auto it = cluster_.configuration().tenants.find(session.tenant);
   bool limited =
       it != cluster_.configuration().tenants.end() && (it->second.rate_per_s > 0 || it->second.burst > 0);
-  if (s.charged || !limited) return route_statement(id);
-  auto r = quota_client_.try_acquire(now_, s.tenant);
-  if (r.request_amount > 0) callbacks_.request_quota(s.tenant, r.request_amount);
-  if (r.acquired) {
-    s.charged = true;
+  if (session.charged || !limited) return route_statement(id);
+  auto quota = quota_client_.try_acquire(now_, session.tenant);
+  if (quota.request_amount > 0) callbacks_.request_quota(session.tenant, quota.request_amount);
+  if (quota.acquired) {
+    session.charged = true;
     return route_statement(id);
   }
-  if (r.exhausted) return refuse_statement(s, "THROTTLED", "the tenant is at its limit");
-  s.statement.awaits_quota_of = s.tenant;
-  waiting_for_quota_[s.tenant].push_back(id);
-  s.statement.wait_timer = timers_.at(wait_limit(s), [this, id] {
-    if (Session* x = find_session(id)) {
-      x->statement.wait_timer = 0;
-      refuse_statement(*x, "THROTTLED", "the tenant is at its limit");
+  if (quota.exhausted) return refuse_statement(session, "THROTTLED", "the tenant is at its limit");
+  session.statement.awaits_quota_of = session.tenant;
+  waiting_for_quota_[session.tenant].push_back(id);
+  session.statement.wait_timer = timers_.at(wait_limit(session), [this, id] {
+    if (Session* live_session = find_session(id)) {
+      live_session->statement.wait_timer = 0;
+      refuse_statement(*live_session, "THROTTLED", "the tenant is at its limit");
     }
   });
 }
@@ -373,26 +380,29 @@
   auto waiting = std::exchange(waiting_for_quota_[tenant], {});
   waiting_for_quota_.erase(tenant);
   for (auto id : waiting) {
-    Session* s = find_session(id);
-    if (!s || s->statement.awaits_quota_of != tenant) continue;
-    s->statement.awaits_quota_of.clear();
-    timers_.cancel(s->statement.wait_timer);
+    Session* session = find_session(id);
+    if (!session || session->statement.awaits_quota_of != tenant) continue;
+    session->statement.awaits_quota_of.clear();
+    timers_.cancel(session->statement.wait_timer);
     charge_quota(id);
   }
 }
 
-// Forgets the statement under way: its timers, and its places in queues.
-void Engine::clear_statement(Session& s) {
-  StatementState& w = s.statement;
-  timers_.cancel(w.deadline_timer);
-  timers_.cancel(w.soft_timer);
-  timers_.cancel(w.wait_timer);
-  if (!w.queued_for.empty()) std::erase(pools_[w.queued_for].waiting, s.id);
-  if (!w.awaits_primary_of.empty()) std::erase(waiting_for_primary_[w.awaits_primary_of], s.id);
-  if (!w.awaits_quota_of.empty()) std::erase(waiting_for_quota_[w.awaits_quota_of], s.id);
-  if (!w.awaits_position_of.empty()) std::erase(waiting_for_position_[w.awaits_position_of], s.id);
-  s.statement = StatementState{};
-  s.busy = false;
+// Clears the current statement with its timers and its places in queues.
+void Engine::clear_statement(Session& session) {
+  StatementState& statement = session.statement;
+  timers_.cancel(statement.deadline_timer);
+  timers_.cancel(statement.soft_timer);
+  timers_.cancel(statement.wait_timer);
+  if (!statement.queued_for.empty()) std::erase(pools_[statement.queued_for].waiting, session.id);
+  if (!statement.awaits_primary_of.empty())
+    std::erase(waiting_for_primary_[statement.awaits_primary_of], session.id);
+  if (!statement.awaits_quota_of.empty())
+    std::erase(waiting_for_quota_[statement.awaits_quota_of], session.id);
+  if (!statement.awaits_position_of.empty())
+    std::erase(waiting_for_position_[statement.awaits_position_of], session.id);
+  session.statement = StatementState{};
+  session.busy = false;
 }
 
 void Engine::begin_shutdown() {
--- a/src/pooler/engine.h
+++ b/src/pooler/engine.h
@@ -1,5 +1,5 @@
-// The pooler's engine: sessions, pooled server connections, routing. No I/O: sockets are a Port,
-// time and timers are handed in.
+// The pooler's engine: client sessions, pooled database connections and routing. It does no I/O: sockets are
+// behind EngineCallbacks, and the caller supplies the time and the timer queue.
 #pragma once
 #include <deque>
 #include <list>
@@ -20,29 +20,33 @@
 using SessionId = std::uint64_t;
 using ConnectionId = std::uint64_t;
 
+// What the engine needs from the process around it: sockets, and messages to the controller.
 class EngineCallbacks {
  public:
   virtual ~EngineCallbacks() = default;
   virtual void send_to_client(SessionId, std::string bytes) = 0;
-  virtual void close_client(SessionId) = 0;  // after what was sent to it
+  virtual void close_client(SessionId) = 0;  // once everything sent to the client is written
   virtual void open_connection(ConnectionId, const Endpoint&) = 0;
   virtual void send_to_database(ConnectionId, std::string bytes) = 0;
+  // orderly: with a CLOSE message to the database.
   virtual void close_connection(ConnectionId, bool orderly) = 0;
-  // How it was met: no answer once where few are asked for, no answers, connections refused.
+  // What this node met at a database: one missed answer from a database it rarely uses, several missed
+  // answers in a row, or a refused connection.
   enum class FailureKind { kSingleTimeout, kNoAnswers, kConnectionRefused };
   virtual void report_failure(const InstanceId&, FailureKind) = 0;
-  virtual void request_position(
-      const std::string& service) = 0;  // asks the core for a position of its primary
-  // Asks the core for rights to run operations of a tenant.
+  // Asks the controller for a recent log position of the service's primary.
+  virtual void request_position(const std::string& service) = 0;
+  // Asks the controller for rights to run operations of a tenant.
   virtual void request_quota(const std::string& tenant, quota::Rights want) = 0;
-  virtual void report_connection_limit(const InstanceId&) = 0;  // it takes no more connections
-  virtual void report_slow_primary(const InstanceId&) = 0;      // a primary answers, but far too slowly
-  virtual void report_recovered(const InstanceId&) = 0;         // it answers after all
+  virtual void report_connection_limit(const InstanceId&) = 0;  // the database refused one with CONNLIMIT
+  virtual void report_slow_primary(const InstanceId&) = 0;      // a primary answers far slower than usual
+  virtual void report_recovered(const InstanceId&) = 0;         // a database that was reported answers again
 };
 
 class Engine {
  public:
-  // lot: drawn at random; nodes of different lots keep connections to different databases where they are few.
+  // node_seed: a random number, by which nodes differ in the databases to which they keep idle connections
+  // where connections are scarce.
   Engine(EngineCallbacks& callbacks, TimerQueue& timers, std::string zone, Millis drain_ms,
          std::uint64_t node_seed)
       : callbacks_(callbacks),
@@ -51,77 +55,85 @@
         drain_ms_(drain_ms),
         node_seed_(node_seed) {}
 
-  // Each call carries the time; timers call back with the time they were set for or later.
+  // Sets the current time; to be called before any other event is passed in and before timers run.
   void set_time(Millis now) { now_ = now; }
 
   void on_client_connected(SessionId);
   void on_client_line(SessionId, std::string_view line);
-  void on_client_read_end(SessionId);  // the lines of one read have all been handed in
+  void on_client_read_end(SessionId);  // all lines of one read from the socket have been passed in
   void on_client_closed(SessionId);
   void on_client_line_too_long(SessionId);
-  bool has_backlog(SessionId) const;  // so much that it has sent waits for its turn that no more is wanted
+  // Whether so many lines of the client are queued that the caller should stop reading from it.
+  bool has_backlog(SessionId) const;
 
   void on_connection_up(ConnectionId);
   void on_database_line(ConnectionId, std::string_view line);
-  void on_database_read_end(ConnectionId);  // the lines of one read have all been handed in
+  void on_database_read_end(ConnectionId);  // all lines of one read from the socket have been passed in
+  // refused: the database refused the connection; silent: it did not come up in time.
   void on_connection_lost(ConnectionId, bool refused, bool silent);
 
-  // whole: the rows are all there are, and replace what is held.
+  // Applies changes of the control state up to a sequence number. is_snapshot: the rows are the whole state
+  // and replace what the node has.
   void apply_update(std::uint64_t sequence, std::vector<Row> rows, bool is_snapshot = false);
-  // The lease runs until `until` and holds only for a cluster at least at `number`.
+  // Extends the lease until `until`. It is valid only while this node has applied the control state at least
+  // up to `sequence`. node_count: the poolers that share the connections to the databases.
   void extend_lease(Millis until, std::uint64_t sequence, std::size_t node_count);
 
-  // A database has turned connections away somewhere: fewer are kept to it for a while.
+  // A database has refused connections to this or another node: fewer idle ones are kept to it for a while.
   void note_connection_limit(const InstanceId& id) {
     pools_[id].limit_reported_until = now_ + kConnectionLimitTtlMs;
   }
-  // The nodes of this zone together find that a database fails: reads go to its peers first for a while.
+  // The nodes of this zone together found a database failing: reads prefer other databases for a while.
   void avoid_reads(const InstanceId& id) {
     auto& until = pools_[id].avoid_until;
     until = std::max(until, now_ + kReportedEjectionMs);
   }
-  // The core's clock, as just heard; `life` names the process whose clock it is.
+  // Notes the controller's clock as just received; `incarnation` identifies the controller process it belongs
+  // to.
   void note_controller_clock(std::uint64_t incarnation, Millis controller_time) {
     controller_incarnation_ = incarnation;
     controller_clock_offset_ = controller_time - (now_ + 1);
   }
-  // Positions of primaries met since the last call, for the core (node_leases/positions.h); null when there
-  // are none.
+  // Returns the positions of primaries observed since the last call, for the controller, which keeps them in
+  // membership/position_cache.h; null when there are none.
   Json take_observed_positions();
-  // The core's answer to Port::sound: asked for at `asked` or later by this node's clock; none when it knows
-  // none.
+  // The controller's reply to EngineCallbacks::request_position. Some node requested the position from the
+  // primary at `requested_at` or later, by this node's clock. No position: the controller knows none.
   void on_position_reply(const std::string& service, Millis requested_at, std::optional<Position> position);
-  // The core's answer to Port::pay.
+  // The controller's reply to EngineCallbacks::request_quota.
   void on_quota_granted(const std::string& tenant, const quota::HolderId& from, quota::Rights sum);
   quota::Rights known_quota(const std::string& tenant, const quota::HolderId& controller) const {
     return quota_client_.received_from(tenant, controller);
   }
-  // Closes pooled connections that have been idle for too long, and without a lease the sessions that rest.
+  // Closes pooled connections that have been idle for too long. Once the node is unready for want of a lease,
+  // also closes the idle sessions, so that their clients connect to another node.
   void close_idle_connections();
-  // What was out of the ordinary since the last call, for the core to see; null when nothing was.
+  // Returns the failures and slow answers since the last call, for the controller; null when there were none.
   Json take_health_report();
-  // Closes the windows in which the pace of the primaries is taken.
+  // Closes the latency window of each primary and reports those that are slow.
   void check_primary_latency();
 
   bool ready() const;
-  std::uint64_t acknowledged_sequence() const;  // the change whose effect is complete here
-  // The steps towards the end of the process, in this order.
+  // The newest change that has taken full effect at this node. While sessions still use a suspended primary,
+  // this is the change before the suspension.
+  std::uint64_t acknowledged_sequence() const;
+  // The steps of a shutdown, to be called in this order.
   bool shutting_down() const { return shutting_down_; }
-  void begin_shutdown();       // unready; serves on for a while
-  void close_idle_sessions();  // sessions that rest end now, the others when they are done
-  // What has been read so far is still run and answered; what comes later is refused and never reaches a
-  // database. Each session ends with its last answer, in a transaction or not.
+  void begin_shutdown();       // reports unready and continues to serve
+  void close_idle_sessions();  // ends idle sessions now, busy ones once they are idle
+  // Statements read so far are still run and answered; later ones are refused and never reach a database.
+  // Each session ends after its last answer, even inside a transaction.
   void stop_accepting_statements();
-  // Whatever is still at work is answered with what is known of it, and all sessions end.
+  // Answers every running statement with what is known of its outcome, and ends all sessions.
   void abort_sessions();
   std::size_t session_count() const { return sessions_.size(); }
-  // What the sessions are doing, for the log of a process that ends.
+  // Counts of what the sessions are doing, for the log of a shutdown.
   struct Activity {
     std::size_t sessions = 0;
     std::size_t in_transaction = 0;
-    std::size_t at_database = 0;  // with a statement that a database has
-    std::size_t waiting = 0;      // with a statement that no database has yet
-    std::size_t begun_since = 0;  // of those two: begun after a given moment
+    std::size_t at_database = 0;  // running a statement that was sent to a database
+    std::size_t waiting = 0;      // with a statement not yet sent to a database
+    std::size_t begun_since = 0;  // of at_database and waiting: begun after the given time
   };
   Activity activity(Millis since) const;
   const ClusterState& cluster() const { return cluster_; }
@@ -141,28 +153,28 @@
     std::string execute_arguments;
     int attempts = 0;
     Millis started_at = 0, sent_at = 0, deadline = 0;
-    bool sent = false;  // the statement itself is at a database
+    bool sent = false;  // the statement itself was sent, not only its setup
     std::vector<InstanceId> tried;
-    std::string rows;                    // of the answer
-    Position required_position;          // WAITFOR of this try
-    bool as_primary = false;             // this try goes to the primary as such, by the lease
-    bool soft_timeout_extended = false;  // its patience has run out once
+    std::string rows;                    // of the answer so far
+    Position required_position;          // sent as WAITFOR in this attempt
+    bool as_primary = false;             // this attempt goes to the primary, which takes a lease
+    bool soft_timeout_extended = false;  // the soft timeout has passed once
     TimerQueue::Id deadline_timer = 0, soft_timer = 0, wait_timer = 0;
-    InstanceId queued_for;            // waits for a connection to it
-    std::string awaits_primary_of;    // waits for the lead of this service
+    InstanceId queued_for;            // waits for a connection to this database
+    std::string awaits_primary_of;    // waits until this service has a primary
     std::string awaits_position_of;   // waits for a position of this service's primary
     std::string awaits_quota_of;      // waits for rights of this tenant
-    bool position_requested = false;  // has waited for one
+    bool position_requested = false;  // a position has been requested once
   };
   struct QueuedLine {
     std::string text;
-    bool late = false;  // read after this node stopped taking statements
+    bool late = false;  // read after stop_accepting_statements()
   };
   struct Session {
     SessionId id = 0;
     std::string host, key;
-    std::string tenant;    // of the operation under way; empty: none is asked for
-    bool charged = false;  // the operation under way has been counted
+    std::string tenant;    // of the current operation; empty: its route needs no key
+    bool charged = false;  // the current operation has been charged to its tenant
     bool connect_received = false, busy = false, closing = false;
     char state = 'I';
     Values values;
@@ -170,13 +182,13 @@
     LVector vector;
     std::string vector_service;
     std::deque<QueuedLine> lines;
-    std::size_t queued_bytes = 0;        // bytes of them
-    std::size_t stored_bytes = 0;        // bytes of its values and prepared names
-    std::shared_ptr<const Route> route;  // of the operation under way
+    std::size_t queued_bytes = 0;        // of `lines`
+    std::size_t stored_bytes = 0;        // of its values and prepared statements
+    std::shared_ptr<const Route> route;  // of the current operation
     bool tx_read_only = false;
-    bool tx_answered = false;  // a statement of it has been answered
-    bool tx_wrote = false;     // a write of it may have run
-    bool tx_lost = false;
+    bool tx_answered = false;  // a statement of the transaction has been answered
+    bool tx_wrote = false;     // a write of the transaction may have run
+    bool tx_lost = false;      // the transaction is gone; its next statement gets the error
     ConnectionId conn = 0;
     TimerQueue::Id rest_timer = 0;
     StatementState statement;
@@ -184,20 +196,20 @@
   struct Connection {
     ConnectionId id = 0;
     InstanceId instance;
-    std::string service, owner;  // who it was opened for: a tenant, or this node
+    std::string service, owner;  // owner: the tenant it was opened for, or "pooler"
     bool up = false, established = false;
-    bool values_unknown = false;  // RESET before the next use
+    bool values_unknown = false;  // needs a RESET before its next use
     Values values;
-    std::map<std::string, std::string> prepared;  // kind and shape -> its name here
+    std::map<std::string, std::string> prepared;  // kind and shape -> name on this connection
     SessionId session = 0;
     std::deque<std::string> setup_steps;  // setup statements still to be sent
     enum class Stage { kIdle, kSetup, kStatement, kCleanup } stage = Stage::kIdle;
     bool in_tx = false;
-    bool tx_configured = false;      // values or names were set inside the open transaction
-    bool observes_position = false;  // the statement went out to the leader under a live lease
+    bool tx_configured = false;      // values or prepared statements were set in the open transaction
+    bool observes_position = false;  // the statement was sent to the primary under a valid lease
     std::string error_code, error_text, stamp;
     bool completed = false;
-    bool answered = false;  // an answer has ended in the read that is under way
+    bool answered = false;  // an answer has ended within the current read
     Millis idle_since = 0, opened = 0, step_sent_at = 0;
     TimerQueue::Id timer = 0;
   };
@@ -206,24 +218,24 @@
     std::size_t total = 0, opening = 0;
     std::deque<SessionId> waiting;
     Millis lagging_until = 0, limit_until = 0, limit_reported_until = 0;
-    // Closed off: a trial connection must come up before sessions are sent there again.
+    // While blocked, the database gets no sessions until a probe connection has come up.
     bool blocked = false;
     Millis probe_delay = 0, blocked_since = 0;
     Millis last_answer = 0;
     std::optional<Millis> drain_since;
     LVector vector;
-    std::map<std::string, double> slowest;  // by route: the longest answer of late, ms, slowly forgotten
+    std::map<std::string, double> slowest;  // by route: slowest recent answer, ms, slowly decaying
     struct Latency {
       double mean = 0;
       Millis at = 0;
     };
     std::map<std::string, Latency> latency;  // by route
-    LatencyTracker primary_latency;          // of statements on primary routes
+    LatencyTracker primary_latency;          // of statements on routes of type primary
     struct {
       int requests = 0, failures = 0;
       Millis total_ms = 0;
-    } window;                 // in this window
-    double failure_rate = 0;  // share of what was asked of late that failed
+    } window;                 // for the next health report
+    double failure_rate = 0;  // moving average, 0 to 1
     Millis avoid_until = 0, avoid_duration = 0;
     int timeouts_in_a_row = 0;
     bool reported_failing = false;
@@ -232,11 +244,11 @@
     enum class Kind { kSend, kAwaitPrimary, kAwaitPosition, kRefuse } kind = Kind::kRefuse;
     InstanceId instance;
     Position required_position;
-    bool as_primary = false;  // because it leads
+    bool as_primary = false;  // the database was chosen as the primary
     std::string code, text;
   };
 
-  // session side
+  // sessions
   void complete_connect(SessionId id);
   void close_resting_sessions();
   void resume_session(Session& s);
@@ -278,7 +290,7 @@
   bool may_send_update(Session& s, const InstanceId& primary);
   bool may_confirm_commits(const std::string& service, const InstanceId& id) const;
 
-  // pool
+  // connection pools
   void acquire_connection(Session& s, const InstanceId& id);
   static const std::string& connection_owner(const Session& s);
   void open_or_evict(const InstanceId& id);
@@ -323,7 +335,7 @@
   ClusterState cluster_;
   Millis lease_until_ = 0;
   std::uint64_t lease_sequence_ = 0;
-  std::optional<Millis> state_known_at_;  // when this node last knew the newest state
+  std::optional<Millis> state_known_at_;  // when this node last had the newest state
   std::size_t node_count_ = 1;
   bool rest_closed_without_lease_ = false, shutting_down_ = false, closing_idle_ = false,
        accepting_statements_ = true;
@@ -339,17 +351,18 @@
     Millis requested_at = 0;
     Position position;
   };
-  std::map<std::string, ObservedPosition> observed_positions_;  // by service: met since the core was told
+  std::map<std::string, ObservedPosition>
+      observed_positions_;  // by service: since the last take_observed_positions()
   std::uint64_t controller_incarnation_ = 0;
-  Millis controller_clock_offset_ = 0;  // the core's clock less this one's, at least
+  Millis controller_clock_offset_ = 0;  // lower bound on the controller's clock minus this node's
   std::map<std::string, Millis> suspended_since_;
   std::map<std::string, std::uint64_t> shape_names_;
   std::uint64_t last_shape_number_ = 0;
   struct RouteCounts {
     int requests = 0, refused = 0, failed = 0, late = 0;
   };
-  std::map<std::string, RouteCounts> route_counts_;  // in this window
-  std::vector<SessionId> waiting_for_state_;         // wait for the first feed
+  std::map<std::string, RouteCounts> route_counts_;  // by route, for the next health report
+  std::vector<SessionId> waiting_for_state_;         // sessions waiting for the first configuration and lease
   ConnectionId last_conn_ = 0;
   std::uint64_t sequence_before_suspension_ = 0;
 };
--- a/src/pooler/engine_routing.cc
+++ b/src/pooler/engine_routing.cc
@@ -1,4 +1,5 @@
-// Routing: which database may run a statement, when to wait, when to refuse; and the pools.
+// Routing: which database may run a statement, when the statement waits and when it is refused; and the
+// connection pools.
 #include <algorithm>
 
 #include "net/constants.h"
@@ -16,20 +17,20 @@
     if (auto* lead = cluster_.primary_of(name)) leads_before[name] = *lead;
   std::uint64_t before = cluster_.sequence();
   if (!cluster_.apply(sequence, rows)) return;
-  for (auto& r : rows) {
-    if (r.key.starts_with("i/")) {
-      InstanceId id{r.key.substr(2)};
-      const Instance* i = cluster_.instance(id);
-      auto p = pools_.find(id);
-      if (i && i->draining) {
+  for (auto& row : rows) {
+    if (row.key.starts_with("i/")) {
+      InstanceId id{row.key.substr(2)};
+      const Instance* instance = cluster_.instance(id);
+      auto pool = pools_.find(id);
+      if (instance && instance->draining) {
         if (!pools_[id].drain_since) pools_[id].drain_since = drain_start();
-      } else if (!i && p != pools_.end()) {
-        std::vector<ConnectionId> idle = p->second.idle;
-        for (auto c : idle) discard_connection(c, true);
+      } else if (!instance && pool != pools_.end()) {
+        std::vector<ConnectionId> idle = pool->second.idle;
+        for (auto connection : idle) discard_connection(connection, true);
         reroute_waiting(id);
       }
-    } else if (r.key.starts_with("s/")) {
-      std::string service = r.key.substr(2);
+    } else if (row.key.starts_with("s/")) {
+      std::string service = row.key.substr(2);
       const PrimaryAssignment* lead = cluster_.primary_of(service);
       if (!lead) continue;
       if (!lead->suspended) {
@@ -45,22 +46,23 @@
       suspended_since_[service] = now_;
       auto end_open = [this, service, primary = lead->primary, planned = lead->planned] {
         std::vector<ConnectionId> conns;
-        for (auto& [cid, c] : connections_)
-          if (c.instance == primary) conns.push_back(cid);
+        for (auto& [cid, connection] : connections_)
+          if (connection.instance == primary) conns.push_back(cid);
         for (auto cid : conns) {
-          Connection* c = find_connection(cid);
-          if (!c) continue;
-          Session* s = find_session(c->session);
+          Connection* connection = find_connection(cid);
+          if (!connection) continue;
+          Session* session = find_session(connection->session);
           if (planned) {
-            // A statement under way ends by itself: once the replicas are held nothing more can be committed.
-            if (s && !s->busy && s->state == 'T') discard_transaction(*s);
+            // A running statement needs no action: once the replicas stop acknowledging to the old primary,
+            // nothing more can be committed there.
+            if (session && !session->busy && session->state == 'T') discard_transaction(*session);
           } else {
             on_connection_lost(cid, false, false);
           }
         }
         if (!planned) block_database(primary);
         auto it = suspended_since_.find(service);
-        if (it != suspended_since_.end()) it->second = -1;  // done with
+        if (it != suspended_since_.end()) it->second = -1;  // handled
       };
       if (lead->planned)
         timers_.at(now_ + kHandOverDrainMs, end_open);
@@ -71,13 +73,14 @@
   note_state_known();
 }
 
-// The earliest moment at which a database that is heard of as draining now can have been acknowledged as
-// that: this node last knew the newest state before it. A node that has just started cannot know when it was.
+// The earliest time at which the draining of a database, of which this node learns now, can have been
+// acknowledged: the time at which this node last had the newest state. A node that has just started cannot
+// know it, and takes DrainMs as used up.
 Millis Engine::drain_start() const {
   return state_known_at_ ? std::min(now_, *state_known_at_) : now_ - drain_ms_;
 }
 
-// A lease says which state was the newest when it was asked for.
+// A lease names the state that was the newest when the lease was requested.
 void Engine::note_state_known() {
   if (lease_until_ > 0 && cluster_.sequence() >= lease_sequence_)
     state_known_at_ = std::max(state_known_at_.value_or(0), lease_until_ - kNodeLeaseMs);
@@ -111,40 +114,41 @@
 
 // --- choosing ----------------------------------------------------------------------
 
-bool Engine::usable(const Instance& i) const {
-  auto p = pools_.find(i.id);
-  if (p == pools_.end()) return true;
-  const auto& since = p->second.drain_since;
+bool Engine::usable(const Instance& instance) const {
+  auto pool = pools_.find(instance.id);
+  if (pool == pools_.end()) return true;
+  const auto& since = pool->second.drain_since;
   if (since && now_ >= *since + drain_ms_ - kDrainMarginMs) return false;
-  return !p->second.blocked;
+  return !pool->second.blocked;
 }
 
 Engine::RoutingDecision Engine::choose_primary(const std::string& service) {
-  RoutingDecision c;
-  c.kind = RoutingDecision::Kind::kAwaitPrimary;
+  RoutingDecision decision;
+  decision.kind = RoutingDecision::Kind::kAwaitPrimary;
   const PrimaryAssignment* lead = cluster_.primary_of(service);
-  if (!lead || lead->suspended || !has_lease()) return c;
-  const Instance* i = cluster_.instance(lead->primary);
-  if (!i || !usable(*i)) return c;
-  c.kind = RoutingDecision::Kind::kSend;
-  c.instance = lead->primary;
-  c.as_primary = true;
-  return c;
-}
-
-// The paper's check before an update goes out: the primary must not be behind what the session has seen.
-// A primary holds all that replicas of its own term show, so only a newer term can put it behind.
-bool Engine::may_send_update(Session& s, const InstanceId& primary) {
-  if (s.vector_service != s.route->service) return true;
+  if (!lead || lead->suspended || !has_lease()) return decision;
+  const Instance* instance = cluster_.instance(lead->primary);
+  if (!instance || !usable(*instance)) return decision;
+  decision.kind = RoutingDecision::Kind::kSend;
+  decision.instance = lead->primary;
+  decision.as_primary = true;
+  return decision;
+}
+
+// The check of the L-vector paper before an update is sent: the primary must not be behind what the session
+// has seen. A primary contains everything that replicas of its own term have, so only a newer term can put it
+// behind.
+bool Engine::may_send_update(Session& session, const InstanceId& primary) {
+  if (session.vector_service != session.route->service) return true;
   auto& v = pools_[primary].vector;
-  if (v.empty() || s.vector <= v) return true;
-  if (s.vector.newest().term > v.newest().term) return false;
-  v.raise(s.vector.newest());
+  if (v.empty() || session.vector <= v) return true;
+  if (session.vector.newest().term > v.newest().term) return false;
+  v.raise(session.vector.newest());
   return true;
 }
 
-// Whether a commit of this database may be passed on as kept: not once its suspension is acknowledged from
-// here, for from then on another may be promoted without it.
+// Whether a commit at this database may be confirmed to the client. Once this node has acknowledged the
+// database's suspension it may not, because another primary may be promoted without that commit.
 bool Engine::may_confirm_commits(const std::string& service, const InstanceId& id) const {
   const PrimaryAssignment* lead = cluster_.primary_of(service);
   if (!lead || lead->primary != id) return false;
@@ -152,51 +156,51 @@
   return !lead->suspended || (s != suspended_since_.end() && s->second >= 0);
 }
 
-// What this database takes for a statement of the route, of late; 0 when that is not known.
+// The recent mean latency of this database for the route, in ms; 0 when it is not known.
 double Engine::recent_latency(const InstanceId& id, const std::string& route) const {
-  auto p = pools_.find(id);
-  if (p == pools_.end()) return 0;
-  auto lead = p->second.latency.find(route);
-  return lead == p->second.latency.end() || now_ - lead->second.at > kLatencyTtlMs ? 0 : lead->second.mean;
+  auto pool = pools_.find(id);
+  if (pool == pools_.end()) return 0;
+  auto lead = pool->second.latency.find(route);
+  return lead == pool->second.latency.end() || now_ - lead->second.at > kLatencyTtlMs ? 0 : lead->second.mean;
 }
 
 void Engine::check_primary_latency() {
   for (auto& [name, spec] : cluster_.configuration().services) {
     const PrimaryAssignment* lead = cluster_.primary_of(name);
-    auto p = lead ? pools_.find(lead->primary) : pools_.end();
-    if (p != pools_.end() && p->second.primary_latency.close_window() && !lead->suspended)
+    auto pool = lead ? pools_.find(lead->primary) : pools_.end();
+    if (pool != pools_.end() && pool->second.primary_latency.close_window() && !lead->suspended)
       callbacks_.report_slow_primary(lead->primary);
   }
 }
 
-Engine::RoutingDecision Engine::choose_database(Session& s) {
-  const Route& route = *s.route;
-  bool tx = s.state == 'T';
-  bool read_only = tx ? s.tx_read_only : s.statement.read;
+Engine::RoutingDecision Engine::choose_database(Session& session) {
+  const Route& route = *session.route;
+  bool tx = session.state == 'T';
+  bool read_only = tx ? session.tx_read_only : session.statement.read;
   if (route.type == RouteType::kPrimary || !read_only) {
-    RoutingDecision c = choose_primary(route.service);
-    if (c.kind == RoutingDecision::Kind::kSend && !may_send_update(s, c.instance))
-      c.kind = RoutingDecision::Kind::kAwaitPrimary;
-    return c;
+    RoutingDecision decision = choose_primary(route.service);
+    if (decision.kind == RoutingDecision::Kind::kSend && !may_send_update(session, decision.instance))
+      decision.kind = RoutingDecision::Kind::kAwaitPrimary;
+    return decision;
   }
   RoutingDecision primary = choose_primary(route.service);
   auto bound = freshness_[route.service].bound(now_, route.max_staleness_ms);
-  if (!bound && !s.statement.position_requested && should_request_position(route.service, primary)) {
-    RoutingDecision sound;
-    sound.kind = RoutingDecision::Kind::kAwaitPosition;
-    return sound;
+  if (!bound && !session.statement.position_requested && should_request_position(route.service, primary)) {
+    RoutingDecision await_decision;
+    await_decision.kind = RoutingDecision::Kind::kAwaitPosition;
+    return await_decision;
   }
-  if (!bound) return primary;  // its answer is the next observation
+  if (!bound) return primary;  // whose answer gives the next position
   Position required_position = *bound;
   if (route.type == RouteType::kReadYourWrites) {
-    if (s.vector_service != route.service) {
-      // A session starts with the node's vector: that of the replica at home, else none.
-      s.vector = LVector();
-      s.vector_service = route.service;
+    if (session.vector_service != route.service) {
+      // A session starts with the vector of the replica in this node's zone, or with an empty one.
+      session.vector = LVector();
+      session.vector_service = route.service;
       for (auto* i : cluster_.instances_of(route.service))
-        if (i->zone == zone_ && pools_.count(i->id)) s.vector = pools_[i->id].vector;
+        if (i->zone == zone_ && pools_.count(i->id)) session.vector = pools_[i->id].vector;
     }
-    required_position = std::max(required_position, s.vector.newest());
+    required_position = std::max(required_position, session.vector.newest());
   }
   const PrimaryAssignment* lead = cluster_.primary_of(route.service);
   double quickest = 0;
@@ -210,7 +214,8 @@
     const Instance& i = *instance;
     const InstanceId& id = i.id;
     if (!usable(i)) continue;
-    if (std::find(s.statement.tried.begin(), s.statement.tried.end(), id) != s.statement.tried.end())
+    if (std::find(session.statement.tried.begin(), session.statement.tried.end(), id) !=
+        session.statement.tried.end())
       continue;
     bool leads = lead && lead->primary == id;
     if (leads && primary.kind != RoutingDecision::Kind::kSend) continue;
@@ -219,90 +224,95 @@
     long cost = (i.zone == zone_ ? 0 : 20) + (leads ? 5 : 0) + (i.draining ? 40 : 0) + (behind ? 60 : 0) +
                 long(std::min<std::size_t>(pool.waiting.size(), 20)) * 4;
     double ms = recent_latency(id, route.name);
-    if (now_ < pool.avoid_until) cost += 50;  // it fails more than it may: the last one is used all the same
+    if (now_ < pool.avoid_until) cost += 50;  // ejected, but used if no other is left
     if (ms > quickest * kLatencyAvoidFactor && ms > quickest + kLatencyAvoidMs) cost += 30;
     if (behind && primary.kind == RoutingDecision::Kind::kSend && !leads) continue;
     if (!best || cost < best_cost) best = &i, best_cost = cost;
   }
   if (!best) return primary;
-  RoutingDecision c;
-  c.kind = RoutingDecision::Kind::kSend;
-  c.instance = best->id;
-  c.as_primary = lead && lead->primary == best->id;
-  if (!c.as_primary) c.required_position = required_position;
-  return c;
+  RoutingDecision decision;
+  decision.kind = RoutingDecision::Kind::kSend;
+  decision.instance = best->id;
+  decision.as_primary = lead && lead->primary == best->id;
+  if (!decision.as_primary) decision.required_position = required_position;
+  return decision;
 }
 
 void Engine::route_statement(SessionId id) {
-  Session* s = find_session(id);
-  if (!s || !s->statement.active) return;
-  if (s->conn) {
-    if (Connection* c = find_connection(s->conn)) return dispatch(*s, *c);
-    s->conn = 0;
+  Session* session = find_session(id);
+  if (!session || !session->statement.active) return;
+  if (session->conn) {
+    if (Connection* c = find_connection(session->conn)) return dispatch(*session, *c);
+    session->conn = 0;
   }
-  RoutingDecision c = choose_database(*s);
+  RoutingDecision c = choose_database(*session);
   if (c.kind == RoutingDecision::Kind::kSend) {
-    s->statement.required_position = c.required_position;
-    s->statement.as_primary = c.as_primary;
-    return acquire_connection(*s, c.instance);
+    session->statement.required_position = c.required_position;
+    session->statement.as_primary = c.as_primary;
+    return acquire_connection(*session, c.instance);
   }
-  if (c.kind == RoutingDecision::Kind::kAwaitPrimary) return await_primary(*s, s->route->service);
-  if (c.kind == RoutingDecision::Kind::kAwaitPosition) return await_position(*s, s->route->service);
-  refuse_statement(*s, c.code, c.text);
-}
-
-Millis Engine::wait_limit(const Session& s) const {
-  return std::min(s.statement.started_at + std::max<Millis>(s.route->latency_target_ms / 4, 1),
-                  s.statement.deadline);
-}
-
-void Engine::await_primary(Session& s, const std::string& service) {
-  Millis until = wait_limit(s);
-  if (now_ >= until) return refuse_statement(s, "THROTTLED", "the primary is being replaced");
-  s.statement.awaits_primary_of = service;
-  waiting_for_primary_[service].push_back(s.id);
-  timers_.cancel(s.statement.wait_timer);
-  s.statement.wait_timer = timers_.at(until, [this, id = s.id] {
-    if (Session* x = find_session(id)) {
-      x->statement.wait_timer = 0;
-      refuse_statement(*x, "THROTTLED", "the primary is being replaced");
+  if (c.kind == RoutingDecision::Kind::kAwaitPrimary) return await_primary(*session, session->route->service);
+  if (c.kind == RoutingDecision::Kind::kAwaitPosition)
+    return await_position(*session, session->route->service);
+  refuse_statement(*session, c.code, c.text);
+}
+
+Millis Engine::wait_limit(const Session& session) const {
+  return std::min(session.statement.started_at + std::max<Millis>(session.route->latency_target_ms / 4, 1),
+                  session.statement.deadline);
+}
+
+void Engine::await_primary(Session& session, const std::string& service) {
+  Millis until = wait_limit(session);
+  if (now_ >= until) return refuse_statement(session, "THROTTLED", "the primary is being replaced");
+  session.statement.awaits_primary_of = service;
+  waiting_for_primary_[service].push_back(session.id);
+  timers_.cancel(session.statement.wait_timer);
+  session.statement.wait_timer = timers_.at(until, [this, id = session.id] {
+    if (Session* live_session = find_session(id)) {
+      live_session->statement.wait_timer = 0;
+      refuse_statement(*live_session, "THROTTLED", "the primary is being replaced");
     }
   });
 }
 
 void Engine::resume_waiting_for_primary(const std::string& service) {
-  auto q = std::move(waiting_for_primary_[service]);
+  auto queue = std::move(waiting_for_primary_[service]);
   waiting_for_primary_.erase(service);
-  for (auto id : q) {
-    Session* s = find_session(id);
-    if (!s) continue;
-    s->statement.awaits_primary_of.clear();
-    timers_.cancel(s->statement.wait_timer);
+  for (auto id : queue) {
+    Session* session = find_session(id);
+    if (!session) continue;
+    session->statement.awaits_primary_of.clear();
+    timers_.cancel(session->statement.wait_timer);
   }
-  for (auto id : q) route_statement(id);
-}
-
-// Refuses a statement that has not run, with a promise and a time to come back.
-void Engine::refuse_statement(Session& s, const std::string& code, const std::string& why) {
-  clear_statement(s);
-  SessionId id = s.id;
-  if (s.route) ++route_counts_[s.route->name].refused;
-  bool astray = s.route && is_primary_unreachable(s.route->service);
-  fail_statement(s, code,
-                 "retry-after-ms=" + std::to_string(s.route ? s.route->latency_target_ms : 100) + " " + why);
-  Session* x = find_session(id);
-  if (!x) return;
-  if (astray && x->state == 'I') return close_session(id);  // it comes back to a node that can serve it
-  resume_session(*x);
-}
-
-// This node alone has no way to the primary: no core gives it a lease, or the primary that others go to
-// does not answer here.
+  for (auto id : queue) route_statement(id);
+}
+
+// Refuses a statement that has not run. The error promises that nothing of it is kept, and names a time to
+// retry.
+void Engine::refuse_statement(Session& session, const std::string& code, const std::string& why) {
+  clear_statement(session);
+  SessionId id = session.id;
+  if (session.route) ++route_counts_[session.route->name].refused;
+  bool astray = session.route && is_primary_unreachable(session.route->service);
+  fail_statement(
+      session, code,
+      "retry-after-ms=" + std::to_string(session.route ? session.route->latency_target_ms : 100) + " " + why);
+  Session* live_session = find_session(id);
+  if (!live_session) return;
+  if (astray && live_session->state == 'I')
+    return close_session(id);  // the client connects again, to a node that can serve it
+  resume_session(*live_session);
+}
+
+// Whether only this node lacks access to the primary: its lease has ended, or the current primary has long
+// been unreachable from here.
 bool Engine::is_primary_unreachable(const std::string& service) const {
   if (lease_until_ > 0 && !has_lease() && now_ >= lease_until_) return true;
   const PrimaryAssignment* lead = cluster_.primary_of(service);
-  auto p = lead && !lead->suspended ? pools_.find(lead->primary) : pools_.end();
-  return p != pools_.end() && p->second.blocked && now_ >= p->second.blocked_since + kPrimaryUnreachableMs;
+  auto pool = lead && !lead->suspended ? pools_.find(lead->primary) : pools_.end();
+  return pool != pools_.end() && pool->second.blocked &&
+         now_ >= pool->second.blocked_since + kPrimaryUnreachableMs;
 }
 
 bool Engine::ready() const {
@@ -312,29 +322,30 @@
 
 // --- pools ----------------------------------------------------------------------------
 
-// How many connections to a database fall to each node; below one, not all nodes can keep one.
+// The number of connections to a database that each node gets; if it is below 1, not every node can keep one.
 double Engine::fair_share(const InstanceId& id) const {
-  const Instance* i = cluster_.instance(id);
-  if (!i) return 0;
-  auto it = cluster_.configuration().services.find(i->service);
+  const Instance* instance = cluster_.instance(id);
+  if (!instance) return 0;
+  auto it = cluster_.configuration().services.find(instance->service);
   int cap = it == cluster_.configuration().services.end() ? 16 : it->second.max_connections;
   return double(std::max(1, cap - kReservedConnections)) / double(node_count_);
 }
 
-// Where connections are scarce a node may open a few, but keeps at most one: what all nodes use at one moment
-// is far below the cap.
+// The most connections this node opens to a database. Where they are scarce a node may open a few but keeps
+// at most one while idle: all nodes together use far fewer at any one time than the limit.
 std::size_t Engine::connection_share(const InstanceId& id) const {
   double fair = fair_share(id);
   if (fair == 0) return 0;
   return fair < kScarceConnectionsPerNode ? kMaxScarceConnections : std::size_t(fair);
 }
 
-// How long an unused connection is kept. Most databases are asked by few of the nodes, so that all may keep
-// theirs. One that has turned a connection away is asked by more than it has room for: then as many nodes as
-// fit, by lot, keep theirs, and the others let go at once.
-Millis Engine::idle_timeout(const InstanceId& id, const Pool& p) const {
+// How long an idle connection is kept, in ms. Most databases are used by few of the nodes, so that all of
+// them may keep theirs. A database that has refused a connection is used by more nodes than it has
+// connections for: then a random subset of nodes that fits keeps its idle connections, and the others close
+// them at once.
+Millis Engine::idle_timeout(const InstanceId& id, const Pool& pool) const {
   double fair = fair_share(id);
-  if (fair >= kScarceConnectionsPerNode || now_ >= p.limit_reported_until) return kIdleConnectionTimeoutMs;
+  if (fair >= kScarceConnectionsPerNode || now_ >= pool.limit_reported_until) return kIdleConnectionTimeoutMs;
   std::uint64_t x = std::hash<std::string>()(id.value) ^ (node_seed_ * 0x9e3779b97f4a7c15ull);
   x = (x ^ (x >> 29)) * 0xbf58476d1ce4e5b9ull;
   double drawn = double((x ^ (x >> 32)) >> 11) / double(1ull << 53);
@@ -343,7 +354,7 @@
 
 void Engine::close_idle_connections() {
   if (!rest_closed_without_lease_ && cluster_.has_configuration() && !shutting_down_ && !ready()) {
-    rest_closed_without_lease_ = true;  // once in each time without a lease
+    rest_closed_without_lease_ = true;  // once per loss of the lease
     close_resting_sessions();
   }
   for (auto& [id, p] : pools_) {
@@ -356,238 +367,248 @@
   }
 }
 
-// Towards a database a connection is a tenant's: it serves no other.
-const std::string& Engine::connection_owner(const Session& s) {
+// The user name under which a connection is opened at a database. A tenant's connection serves no other
+// tenant.
+const std::string& Engine::connection_owner(const Session& session) {
   static const std::string nobody = "pooler";
-  return s.tenant.empty() ? nobody : s.tenant;
-}
-
-void Engine::acquire_connection(Session& s, const InstanceId& id) {
-  Pool& p = pools_[id];
-  if (!p.idle.empty() && p.waiting.empty()) {
-    // One that carries the session's values already saves a round trip; the newest is the warmest.
-    std::size_t best = p.idle.size();
-    for (std::size_t i = p.idle.size(); i-- > 0;) {
-      Connection* c = find_connection(p.idle[i]);
-      if (!c || c->owner != connection_owner(s)) continue;
-      if (best == p.idle.size()) best = i;
-      if (!c->values_unknown && c->values == s.values) {
+  return session.tenant.empty() ? nobody : session.tenant;
+}
+
+void Engine::acquire_connection(Session& session, const InstanceId& id) {
+  Pool& pool = pools_[id];
+  if (!pool.idle.empty() && pool.waiting.empty()) {
+    // Prefers a connection that already has the session's values, which saves a round trip, otherwise the one
+    // used last.
+    std::size_t best = pool.idle.size();
+    for (std::size_t i = pool.idle.size(); i-- > 0;) {
+      Connection* connection = find_connection(pool.idle[i]);
+      if (!connection || connection->owner != connection_owner(session)) continue;
+      if (best == pool.idle.size()) best = i;
+      if (!connection->values_unknown && connection->values == session.values) {
         best = i;
         break;
       }
     }
-    if (best < p.idle.size()) {
-      ConnectionId cid = p.idle[best];
-      p.idle.erase(p.idle.begin() + std::ptrdiff_t(best));
-      Connection* c = find_connection(cid);
-      c->session = s.id;
-      s.conn = cid;
-      return dispatch(s, *c);
+    if (best < pool.idle.size()) {
+      ConnectionId cid = pool.idle[best];
+      pool.idle.erase(pool.idle.begin() + std::ptrdiff_t(best));
+      Connection* connection = find_connection(cid);
+      connection->session = session.id;
+      session.conn = cid;
+      return dispatch(session, *connection);
     }
   }
-  s.statement.queued_for = id;
-  p.waiting.push_back(s.id);
+  session.statement.queued_for = id;
+  pool.waiting.push_back(session.id);
   open_or_evict(id);
-  timers_.cancel(s.statement.wait_timer);
-  s.statement.wait_timer =
-      timers_.at(std::min(s.statement.started_at + s.route->latency_target_ms / 4, s.statement.deadline),
-                 [this, sid = s.id] {
-                   Session* x = find_session(sid);
-                   if (!x) return;
-                   x->statement.wait_timer = 0;
-                   std::erase(pools_[x->statement.queued_for].waiting, sid);
-                   x->statement.queued_for = {};
-                   refuse_statement(*x, "THROTTLED", "no connection to the database is free");
+  timers_.cancel(session.statement.wait_timer);
+  session.statement.wait_timer =
+      timers_.at(std::min(session.statement.started_at + session.route->latency_target_ms / 4,
+                          session.statement.deadline),
+                 [this, sid = session.id] {
+                   Session* live_session = find_session(sid);
+                   if (!live_session) return;
+                   live_session->statement.wait_timer = 0;
+                   std::erase(pools_[live_session->statement.queued_for].waiting, sid);
+                   live_session->statement.queued_for = {};
+                   refuse_statement(*live_session, "THROTTLED", "no connection to the database is free");
                  });
 }
 
-// For those who wait a connection is opened; where there are enough, one that rests for somebody else gives
-// way.
+// Opens a connection for the waiting sessions; at the limit, closes an idle connection of another tenant to
+// make room.
 void Engine::open_or_evict(const InstanceId& id) {
-  Pool& p = pools_[id];
-  if (p.opening >= p.waiting.size() || now_ < p.limit_until) return;
-  if (p.total < connection_share(id))
+  Pool& pool = pools_[id];
+  if (pool.opening >= pool.waiting.size() || now_ < pool.limit_until) return;
+  if (pool.total < connection_share(id))
     start_connection(id);
-  else if (!p.idle.empty() && !p.blocked)
-    discard_connection(p.idle.front(), true);  // which opens one
+  else if (!pool.idle.empty() && !pool.blocked)
+    discard_connection(pool.idle.front(), true);  // which opens a new one
 }
 
 void Engine::start_connection(const InstanceId& id) {
-  const Instance* i = cluster_.instance(id);
-  if (!i) return;
-  Pool& p = pools_[id];
-  Connection c;
-  const Session* first = p.opening < p.waiting.size() ? find_session(p.waiting[p.opening]) : nullptr;
-  c.owner = first ? connection_owner(*first) : "pooler";
-  c.id = ++last_conn_;
-  c.instance = id;
-  c.service = i->service;
-  c.opened = now_;
-  ++p.total;
-  ++p.opening;
-  c.timer = timers_.at(now_ + kServerConnectMs, [this, cid = c.id] { on_connection_lost(cid, false, true); });
-  ConnectionId cid = c.id;
-  connections_.emplace(cid, std::move(c));
-  callbacks_.open_connection(cid, i->address);
+  const Instance* instance = cluster_.instance(id);
+  if (!instance) return;
+  Pool& pool = pools_[id];
+  Connection connection;
+  const Session* first =
+      pool.opening < pool.waiting.size() ? find_session(pool.waiting[pool.opening]) : nullptr;
+  connection.owner = first ? connection_owner(*first) : "pooler";
+  connection.id = ++last_conn_;
+  connection.instance = id;
+  connection.service = instance->service;
+  connection.opened = now_;
+  ++pool.total;
+  ++pool.opening;
+  connection.timer = timers_.at(now_ + kServerConnectMs,
+                                [this, cid = connection.id] { on_connection_lost(cid, false, true); });
+  ConnectionId cid = connection.id;
+  connections_.emplace(cid, std::move(connection));
+  callbacks_.open_connection(cid, instance->address);
 }
 
 void Engine::on_connection_up(ConnectionId id) {
-  Connection* c = find_connection(id);
-  if (!c) return;
-  c->up = true;
-  callbacks_.send_to_database(id,
-                              "CONNECT " + c->service + " " + c->owner + " " + c->instance.value + "\r\n");
+  Connection* connection = find_connection(id);
+  if (!connection) return;
+  connection->up = true;
+  callbacks_.send_to_database(id, "CONNECT " + connection->service + " " + connection->owner + " " +
+                                      connection->instance.value + "\r\n");
 }
 
 void Engine::assign_idle_connections(const InstanceId& id) {
-  Pool& p = pools_[id];
-  // Those who wait take their turns, each with the newest connection that is theirs.
-  for (std::size_t turn = 0; turn < p.waiting.size() && !p.idle.empty();) {
-    SessionId sid = p.waiting[turn];
-    Session* s = find_session(sid);
-    if (!s) {
-      p.waiting.erase(p.waiting.begin() + std::ptrdiff_t(turn));
+  Pool& pool = pools_[id];
+  // Waiting sessions are served in order, each with the most recently used connection of its owner.
+  for (std::size_t turn = 0; turn < pool.waiting.size() && !pool.idle.empty();) {
+    SessionId sid = pool.waiting[turn];
+    Session* session = find_session(sid);
+    if (!session) {
+      pool.waiting.erase(pool.waiting.begin() + std::ptrdiff_t(turn));
       continue;
     }
-    auto mine = std::find_if(p.idle.rbegin(), p.idle.rend(), [&](ConnectionId c) {
-      return find_connection(c)->owner == connection_owner(*s);
+    auto mine = std::find_if(pool.idle.rbegin(), pool.idle.rend(), [&](ConnectionId connection) {
+      return find_connection(connection)->owner == connection_owner(*session);
     });
-    if (mine == p.idle.rend()) {
+    if (mine == pool.idle.rend()) {
       ++turn;
       continue;
     }
     ConnectionId cid = *mine;
-    p.idle.erase(std::next(mine).base());
-    p.waiting.erase(p.waiting.begin() + std::ptrdiff_t(turn));
-    s->statement.queued_for = {};
-    timers_.cancel(s->statement.wait_timer);
-    Connection* c = find_connection(cid);
-    c->session = sid;
-    s->conn = cid;
-    dispatch(*s, *c);
+    pool.idle.erase(std::next(mine).base());
+    pool.waiting.erase(pool.waiting.begin() + std::ptrdiff_t(turn));
+    session->statement.queued_for = {};
+    timers_.cancel(session->statement.wait_timer);
+    Connection* connection = find_connection(cid);
+    connection->session = sid;
+    session->conn = cid;
+    dispatch(*session, *connection);
   }
-  if (!p.waiting.empty() && !p.idle.empty()) open_or_evict(id);
-}
-
-void Engine::return_connection(Connection& c) {
-  c.session = 0;
-  c.stage = Connection::Stage::kIdle;
-  c.in_tx = false;
-  c.idle_since = now_;
-  Pool& p = pools_[c.instance];
-  InstanceId id = c.instance;
-  bool surplus = p.waiting.empty() && fair_share(id) < kScarceConnectionsPerNode &&
-                 (!p.idle.empty() || idle_timeout(id, p) == 0);
-  if (!cluster_.instance(id) || p.total > connection_share(id) || surplus)
-    return discard_connection(c.id, true);
-  p.idle.push_back(c.id);
+  if (!pool.waiting.empty() && !pool.idle.empty()) open_or_evict(id);
+}
+
+void Engine::return_connection(Connection& connection) {
+  connection.session = 0;
+  connection.stage = Connection::Stage::kIdle;
+  connection.in_tx = false;
+  connection.idle_since = now_;
+  Pool& pool = pools_[connection.instance];
+  InstanceId id = connection.instance;
+  bool surplus = pool.waiting.empty() && fair_share(id) < kScarceConnectionsPerNode &&
+                 (!pool.idle.empty() || idle_timeout(id, pool) == 0);
+  if (!cluster_.instance(id) || pool.total > connection_share(id) || surplus)
+    return discard_connection(connection.id, true);
+  pool.idle.push_back(connection.id);
   assign_idle_connections(id);
 }
 
 void Engine::discard_connection(ConnectionId id, bool orderly) {
-  Connection* c = find_connection(id);
-  if (!c) return;
-  Pool& p = pools_[c->instance];
-  std::erase(p.idle, id);
-  if (p.total > 0) --p.total;
-  if (!c->established && p.opening > 0) --p.opening;
-  timers_.cancel(c->timer);
-  InstanceId instance = c->instance;
+  Connection* connection = find_connection(id);
+  if (!connection) return;
+  Pool& pool = pools_[connection->instance];
+  std::erase(pool.idle, id);
+  if (pool.total > 0) --pool.total;
+  if (!connection->established && pool.opening > 0) --pool.opening;
+  timers_.cancel(connection->timer);
+  InstanceId instance = connection->instance;
   connections_.erase(id);
   callbacks_.close_connection(id, orderly);
-  if (p.opening < p.waiting.size() && p.total < connection_share(instance) && now_ >= p.limit_until &&
-      !p.blocked)
+  if (pool.opening < pool.waiting.size() && pool.total < connection_share(instance) &&
+      now_ >= pool.limit_until && !pool.blocked)
     start_connection(instance);
 }
 
-// The database takes no more connections for now; those who wait get theirs in a moment, if one is free.
+// The database has refused a connection with CONNLIMIT: no more are opened for a moment, after which the
+// waiting sessions get another try.
 void Engine::on_connection_limit(const InstanceId& id) {
-  Pool& p = pools_[id];
-  if (now_ < p.limit_until) return;
-  p.limit_until = now_ + kConnectionLimitPauseMs;
-  if (now_ >= p.limit_reported_until) {
+  Pool& pool = pools_[id];
+  if (now_ < pool.limit_until) return;
+  pool.limit_until = now_ + kConnectionLimitPauseMs;
+  if (now_ >= pool.limit_reported_until) {
     note_connection_limit(id);
     callbacks_.report_connection_limit(id);
   }
-  timers_.at(p.limit_until, [this, id] {
+  timers_.at(pool.limit_until, [this, id] {
     Pool& x = pools_[id];
     if (x.opening < x.waiting.size() && x.total < connection_share(id) && !x.blocked) start_connection(id);
   });
 }
 
-// Those who wait for this database look around anew.
+// Routes the sessions that wait for this database again.
 void Engine::reroute_waiting(const InstanceId& id) {
-  auto q = std::move(pools_[id].waiting);
+  auto queue = std::move(pools_[id].waiting);
   pools_[id].waiting.clear();
-  for (auto sid : q) {
-    Session* s = find_session(sid);
-    if (!s) continue;
-    s->statement.queued_for = {};
-    timers_.cancel(s->statement.wait_timer);
+  for (auto sid : queue) {
+    Session* session = find_session(sid);
+    if (!session) continue;
+    session->statement.queued_for = {};
+    timers_.cancel(session->statement.wait_timer);
   }
-  for (auto sid : q) route_statement(sid);
+  for (auto sid : queue) route_statement(sid);
 }
 
 void Engine::on_connection_lost(ConnectionId id, bool refused, bool silent) {
-  Connection* c = find_connection(id);
-  if (!c) return;
-  Pool& p = pools_[c->instance];
-  InstanceId instance = c->instance;
-  bool established = c->established;
-  Session* s = find_session(c->session);
-  bool in_flight = s && s->busy && s->conn == id && c->stage != Connection::Stage::kIdle;
-  bool sent = in_flight && s->statement.sent;
-  if (sent) record_result(instance, false, now_ - s->statement.sent_at);
+  Connection* connection = find_connection(id);
+  if (!connection) return;
+  Pool& pool = pools_[connection->instance];
+  InstanceId instance = connection->instance;
+  bool established = connection->established;
+  Session* session = find_session(connection->session);
+  bool in_flight =
+      session && session->busy && session->conn == id && connection->stage != Connection::Stage::kIdle;
+  bool sent = in_flight && session->statement.sent;
+  if (sent) record_result(instance, false, now_ - session->statement.sent_at);
   if (!established) {
-    p.reported_failing = true;
+    pool.reported_failing = true;
     callbacks_.report_failure(instance, refused && !silent ? EngineCallbacks::FailureKind::kConnectionRefused
                                                            : EngineCallbacks::FailureKind::kNoAnswers);
     extend_block(instance);
   }
-  SessionId sid = s ? s->id : 0;
+  SessionId sid = session ? session->id : 0;
   discard_connection(id, false);
-  s = find_session(sid);
-  if (s && s->conn == id) {
-    s->conn = 0;
+  session = find_session(sid);
+  if (session && session->conn == id) {
+    session->conn = 0;
     if (in_flight)
-      on_statement_lost(*s, sent);
-    else if (s->state == 'T')
-      s->tx_lost = true;
+      on_statement_lost(*session, sent);
+    else if (session->state == 'T')
+      session->tx_lost = true;
   }
   if (!established) reroute_waiting(instance);
 }
 
-// Sends no session there until a trial connection has come up; trials are spaced further and further.
+// Sends no sessions to the database until a probe connection has come up; the probe interval doubles each
+// time.
 void Engine::block_database(const InstanceId& id) {
-  Pool& p = pools_[id];
-  if (p.blocked) return;
-  p.blocked = true;
-  if (p.probe_delay == 0) p.blocked_since = now_;
-  p.probe_delay = p.probe_delay == 0 ? kFirstProbeDelayMs : std::min(p.probe_delay * 2, kMaxProbeIntervalMs);
-  std::vector<ConnectionId> idle = p.idle;
+  Pool& pool = pools_[id];
+  if (pool.blocked) return;
+  pool.blocked = true;
+  if (pool.probe_delay == 0) pool.blocked_since = now_;
+  pool.probe_delay =
+      pool.probe_delay == 0 ? kFirstProbeDelayMs : std::min(pool.probe_delay * 2, kMaxProbeIntervalMs);
+  std::vector<ConnectionId> idle = pool.idle;
   for (auto c : idle) discard_connection(c, false);
-  timers_.at(now_ + p.probe_delay, [this, id] { probe_database(id); });
+  timers_.at(now_ + pool.probe_delay, [this, id] { probe_database(id); });
   reroute_waiting(id);
 }
 
-// A trial connection has failed, or the first one: the next trial comes after a longer pause.
+// Called when a probe or any new connection has failed: blocks the database until the next probe, which comes
+// after a longer interval.
 void Engine::extend_block(const InstanceId& id) {
   pools_[id].blocked = false;
   block_database(id);
 }
 
 void Engine::probe_database(const InstanceId& id) {
-  Pool& p = pools_[id];
-  if (!p.blocked || !cluster_.instance(id)) return;
+  Pool& pool = pools_[id];
+  if (!pool.blocked || !cluster_.instance(id)) return;
   start_connection(id);
 }
 
 void Engine::unblock_database(const InstanceId& id) {
-  Pool& p = pools_[id];
-  p.blocked = false;
-  p.probe_delay = 0;
-  p.timeouts_in_a_row = 0;
-  if (const Instance* i = cluster_.instance(id)) resume_waiting_for_primary(i->service);
+  Pool& pool = pools_[id];
+  pool.blocked = false;
+  pool.probe_delay = 0;
+  pool.timeouts_in_a_row = 0;
+  if (const Instance* instance = cluster_.instance(id)) resume_waiting_for_primary(instance->service);
 }
 
 }  // namespace pebblespindle::pooler
--- a/src/pooler/engine_statements.cc
+++ b/src/pooler/engine_statements.cc
@@ -1,4 +1,4 @@
-// Execution: statements on server connections, their answers, and what follows when none comes.
+// Execution of statements on database connections: setup, answers, timeouts and retries.
 #include <algorithm>
 
 #include "net/constants.h"
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr int kNoMoreAttempts = 1 << 20;  // attempts: more than any route allows
+constexpr int kNoMoreAttempts = 1 << 20;  // attempts; more than any route allows, which rules out a retry
 
 bool not_run(std::string_view code) {
   return code == "THROTTLED" || code == "LAGGING" || code == "READONLY" || code == "WRONGNODE" ||
@@ -19,456 +19,476 @@
 
 }  // namespace
 
-// Brings the connection to what the session needs, then sends the statement.
-void Engine::dispatch(Session& s, Connection& c) {
-  StatementState& w = s.statement;
-  ++w.attempts;
-  w.sent = false;
-  w.sent_at = now_;
-  w.rows.clear();
-  c.setup_steps.clear();
-  if (!c.in_tx) {
-    bool extra = c.values_unknown || c.prepared.size() > kMaxPreparedPerConnection;
-    for (auto& [name, value] : c.values) extra = extra || !s.values.count(name);
+// Sets up the connection with the values, prepared statement and transaction of the session, then sends the
+// statement.
+void Engine::dispatch(Session& session, Connection& connection) {
+  StatementState& statement = session.statement;
+  ++statement.attempts;
+  statement.sent = false;
+  statement.sent_at = now_;
+  statement.rows.clear();
+  connection.setup_steps.clear();
+  if (!connection.in_tx) {
+    bool extra = connection.values_unknown || connection.prepared.size() > kMaxPreparedPerConnection;
+    for (auto& [name, value] : connection.values) extra = extra || !session.values.count(name);
     if (extra) {
-      c.setup_steps.emplace_back("RESET");
-      c.values.clear();
-      c.prepared.clear();
+      connection.setup_steps.emplace_back("RESET");
+      connection.values.clear();
+      connection.prepared.clear();
     }
   }
-  for (auto& [name, value] : s.values) {
-    auto it = c.values.find(name);
-    if (it == c.values.end() || it->second != value)
-      c.setup_steps.push_back(std::string("CONFIGURE ").append(name).append(" ").append(value));
+  for (auto& [name, value] : session.values) {
+    auto it = connection.values.find(name);
+    if (it == connection.values.end() || it->second != value)
+      connection.setup_steps.push_back(std::string("CONFIGURE ").append(name).append(" ").append(value));
   }
-  if (!w.prepared_shape.empty() && !c.prepared.count(w.prepared_shape)) {
-    // A name never stands for another shape, also not once the list has grown too long and starts anew.
+  if (!statement.prepared_shape.empty() && !connection.prepared.count(statement.prepared_shape)) {
+    // Numbers go on after the list was cleared, so that a name never stands for two prepared statements.
     if (shape_names_.size() >= kMaxPreparedNames) shape_names_.clear();
-    auto [it, fresh] = shape_names_.emplace(w.prepared_shape, last_shape_number_ + 1);
+    auto [it, fresh] = shape_names_.emplace(statement.prepared_shape, last_shape_number_ + 1);
     if (fresh) ++last_shape_number_;
-    c.setup_steps.push_back("PREPARE p" + std::to_string(it->second) + " " + w.prepared_shape);
+    connection.setup_steps.push_back("PREPARE p" + std::to_string(it->second) + " " +
+                                     statement.prepared_shape);
   }
-  if (s.state == 'T' && !c.in_tx) {
-    std::string begin = s.tx_read_only ? "BEGIN FETCH" : "BEGIN";
-    if (!w.required_position.none()) begin = "WAITFOR " + w.required_position.text() + " " + begin;
-    c.setup_steps.push_back(begin);
+  if (session.state == 'T' && !connection.in_tx) {
+    std::string begin = session.tx_read_only ? "BEGIN FETCH" : "BEGIN";
+    if (!statement.required_position.none())
+      begin = "WAITFOR " + statement.required_position.text() + " " + begin;
+    connection.setup_steps.push_back(begin);
   }
-  timers_.cancel(w.soft_timer);
-  w.soft_timeout_extended = false;
-  w.soft_timer = timers_.at(now_ + soft_timeout(c.instance, s), [this, id = s.id] {
-    if (Session* x = find_session(id)) {
-      x->statement.soft_timer = 0;
-      on_soft_timeout(id);
-    }
-  });
-  send_next_step(c);
+  timers_.cancel(statement.soft_timer);
+  statement.soft_timeout_extended = false;
+  statement.soft_timer =
+      timers_.at(now_ + soft_timeout(connection.instance, session), [this, id = session.id] {
+        if (Session* live_session = find_session(id)) {
+          live_session->statement.soft_timer = 0;
+          on_soft_timeout(id);
+        }
+      });
+  send_next_step(connection);
 }
 
-// How long an answer of this database may take before it is missed.
-Millis Engine::soft_timeout(const InstanceId& id, const Session& s) const {
-  auto p = pools_.find(id);
-  if (p == pools_.end()) return kInitialSoftTimeoutMs;
-  auto w = p->second.slowest.find(s.route->name);
-  if (w == p->second.slowest.end()) return kInitialSoftTimeoutMs;
+// How long an answer of this database may take, in ms, before a read is retried elsewhere.
+Millis Engine::soft_timeout(const InstanceId& id, const Session& session) const {
+  auto pool = pools_.find(id);
+  if (pool == pools_.end()) return kInitialSoftTimeoutMs;
+  auto w = pool->second.slowest.find(session.route->name);
+  if (w == pool->second.slowest.end()) return kInitialSoftTimeoutMs;
   return std::max<Millis>(kMinSoftTimeoutMs, Millis(kSoftTimeoutFactor * w->second));
 }
 
 // Sends what comes next on this connection: a setup statement, the client's statement, or a rollback.
-void Engine::send_next_step(Connection& c) {
-  c.error_code.clear();
-  c.error_text.clear();
-  c.stamp.clear();
-  c.completed = false;
-  c.step_sent_at = now_;
-  Session* s = find_session(c.session);
-  if (!s) {
-    if (!c.in_tx) return return_connection(c);
-    c.stage = Connection::Stage::kCleanup;
-    timers_.cancel(c.timer);
-    c.timer =
-        timers_.at(now_ + kServerConnectMs, [this, id = c.id] { on_connection_lost(id, false, false); });
-    return callbacks_.send_to_database(c.id, sql_protocol::query("-", "ROLLBACK"));
+void Engine::send_next_step(Connection& connection) {
+  connection.error_code.clear();
+  connection.error_text.clear();
+  connection.stamp.clear();
+  connection.completed = false;
+  connection.step_sent_at = now_;
+  Session* session = find_session(connection.session);
+  if (!session) {
+    if (!connection.in_tx) return return_connection(connection);
+    connection.stage = Connection::Stage::kCleanup;
+    timers_.cancel(connection.timer);
+    connection.timer = timers_.at(now_ + kServerConnectMs,
+                                  [this, id = connection.id] { on_connection_lost(id, false, false); });
+    return callbacks_.send_to_database(connection.id, sql_protocol::query("-", "ROLLBACK"));
   }
-  if (!c.setup_steps.empty()) {
-    c.stage = Connection::Stage::kSetup;
-    return callbacks_.send_to_database(c.id, sql_protocol::query("-", c.setup_steps.front()));
+  if (!connection.setup_steps.empty()) {
+    connection.stage = Connection::Stage::kSetup;
+    return callbacks_.send_to_database(connection.id,
+                                       sql_protocol::query("-", connection.setup_steps.front()));
   }
-  StatementState& w = s->statement;
-  if (w.as_primary && !(s->state == 'T' && s->tx_answered) &&
-      !(has_lease() && may_confirm_commits(c.service, c.instance))) {
-    // The right to ask this one has ended while the statement waited: it has not run, and looks around anew.
-    SessionId id = s->id;
-    --w.attempts;
-    timers_.cancel(w.soft_timer);
-    s->conn = c.session = 0;
-    send_next_step(c);
+  StatementState& statement = session->statement;
+  if (statement.as_primary && !(session->state == 'T' && session->tx_answered) &&
+      !(has_lease() && may_confirm_commits(connection.service, connection.instance))) {
+    // The lease or the role of the primary ended while the statement waited. It has not run and is routed
+    // again.
+    SessionId id = session->id;
+    --statement.attempts;
+    timers_.cancel(statement.soft_timer);
+    session->conn = connection.session = 0;
+    send_next_step(connection);
     return route_statement(id);
   }
-  c.stage = Connection::Stage::kStatement;
-  std::string text = w.text;
-  if (w.verb == Verb::kExecute) text = "EXECUTE " + c.prepared[w.prepared_shape] + " " + w.execute_arguments;
-  if (s->state != 'T' && w.read && !w.required_position.none())
-    text = "WAITFOR " + w.required_position.text() + " " + text;
-  w.sent = true;
-  w.sent_at = now_;
-  const PrimaryAssignment* l = cluster_.primary_of(c.service);
-  c.observes_position = has_lease() && l && !l->suspended && l->primary == c.instance;
-  if (!w.read && w.verb != Verb::kCommit) s->tx_wrote = true;
-  callbacks_.send_to_database(c.id, sql_protocol::query(w.id, text));
+  connection.stage = Connection::Stage::kStatement;
+  std::string text = statement.text;
+  if (statement.verb == Verb::kExecute)
+    text = "EXECUTE " + connection.prepared[statement.prepared_shape] + " " + statement.execute_arguments;
+  if (session->state != 'T' && statement.read && !statement.required_position.none())
+    text = "WAITFOR " + statement.required_position.text() + " " + text;
+  statement.sent = true;
+  statement.sent_at = now_;
+  const PrimaryAssignment* lead = cluster_.primary_of(connection.service);
+  connection.observes_position =
+      has_lease() && lead && !lead->suspended && lead->primary == connection.instance;
+  if (!statement.read && statement.verb != Verb::kCommit) session->tx_wrote = true;
+  callbacks_.send_to_database(connection.id, sql_protocol::query(statement.id, text));
 }
 
 void Engine::on_database_line(ConnectionId id, std::string_view line) {
-  Connection* c = find_connection(id);
-  if (!c) return;
+  Connection* connection = find_connection(id);
+  if (!connection) return;
   auto rest = line;
   auto word = sql_protocol::take(rest);
-  Pool& p = pools_[c->instance];
-  p.last_answer = now_;
-  if (p.reported_failing) {
-    p.reported_failing = false;
-    callbacks_.report_recovered(c->instance);
+  Pool& pool = pools_[connection->instance];
+  pool.last_answer = now_;
+  if (pool.reported_failing) {
+    pool.reported_failing = false;
+    callbacks_.report_recovered(connection->instance);
   }
-  if (!c->established) {
-    InstanceId instance = c->instance;
+  if (!connection->established) {
+    InstanceId instance = connection->instance;
     auto ready = word == "IDLE" ? sql_protocol::parse_idle(rest) : std::nullopt;
     if (ready && ready->state == 'I') {
-      c->established = c->answered = true;
-      timers_.cancel(c->timer);
-      if (p.opening > 0) --p.opening;
-      if (p.blocked || p.probe_delay != 0) {
-        ConnectionId cid = c->id;
+      connection->established = connection->answered = true;
+      timers_.cancel(connection->timer);
+      if (pool.opening > 0) --pool.opening;
+      if (pool.blocked || pool.probe_delay != 0) {
+        ConnectionId cid = connection->id;
         unblock_database(instance);
-        c = find_connection(cid);
-        if (!c) return;
+        connection = find_connection(cid);
+        if (!connection) return;
       }
-      if (ready->position) p.vector.raise(*ready->position);
-      return return_connection(*c);
+      if (ready->position) pool.vector.raise(*ready->position);
+      return return_connection(*connection);
     }
     auto code = sql_protocol::take(rest);
     const bool is_full = word == "STMTERR" && code == "CONNLIMIT";
     if (is_full) on_connection_limit(instance);
-    if (!is_full || p.blocked) extend_block(instance);
+    if (!is_full || pool.blocked) extend_block(instance);
     discard_connection(id, false);
-    if (p.total == p.opening) reroute_waiting(instance);
+    if (pool.total == pool.opening) reroute_waiting(instance);
     return;
   }
-  if (!handle_answer_line(*c, word, line, rest)) on_connection_lost(id, false, false);  // not understood
+  if (!handle_answer_line(*connection, word, line, rest))
+    on_connection_lost(id, false, false);  // protocol violation
 }
 
-// A line of an answer. False: it is none, or it has no place there. Answers carry no name of what they
-// answer, so all that tells whose they are is their order: a connection whose order is in doubt serves nobody
-// any more.
-bool Engine::handle_answer_line(Connection& c, std::string_view word, std::string_view line,
+// Handles one line of an answer. Returns false if the line is not valid at this point, and the caller then
+// closes the connection. Answers do not name their statement and are matched by order alone, so that a
+// connection whose order is in doubt must not be reused.
+bool Engine::handle_answer_line(Connection& connection, std::string_view word, std::string_view line,
                                 std::string_view rest) {
-  if (c.stage == Connection::Stage::kIdle || c.answered)
-    return false;  // nothing is asked, or it cannot be meant
-  const bool decided = c.completed || !c.error_code.empty();
+  if (connection.stage == Connection::Stage::kIdle || connection.answered)
+    return false;  // no statement is open, or the answer is over
+  const bool decided = connection.completed || !connection.error_code.empty();
   if (word == "DATAROW") {
-    if (decided || c.stage != Connection::Stage::kStatement) return false;
-    Session* s = find_session(c.session);
-    if (!s) return true;
-    s->statement.rows.append(line).append("\r\n");
-    return s->statement.rows.size() <= kMaxAnswerBytes;
+    if (decided || connection.stage != Connection::Stage::kStatement) return false;
+    Session* session = find_session(connection.session);
+    if (!session) return true;
+    session->statement.rows.append(line).append("\r\n");
+    return session->statement.rows.size() <= kMaxAnswerBytes;
   }
   if (word == "COMPLETE") {
     if (decided) return false;
-    c.completed = true;
-    c.stamp = std::string(rest);
+    connection.completed = true;
+    connection.stamp = std::string(rest);
     return true;
   }
   if (word == "STMTERR") {
     if (decided) return false;
-    c.error_code = std::string(sql_protocol::take(rest));
-    c.error_text = std::string(rest);
-    return !c.error_code.empty();
+    connection.error_code = std::string(sql_protocol::take(rest));
+    connection.error_text = std::string(rest);
+    return !connection.error_code.empty();
   }
   auto idle = word == "IDLE" ? sql_protocol::parse_idle(rest) : std::nullopt;
   if (!idle || !decided) return false;
-  c.answered = true;  // what stands behind it in the same read was written before anything else was asked
-  return finish_step(c, *idle);
+  connection.answered = true;  // the rest of this read was written before the next statement was sent
+  return finish_step(connection, *idle);
 }
 
 void Engine::on_database_read_end(ConnectionId id) {
-  if (Connection* c = find_connection(id)) c->answered = false;
+  if (Connection* connection = find_connection(id)) connection->answered = false;
 }
 
-// False: the answer does not fit what was asked.
-bool Engine::finish_step(Connection& c, const sql_protocol::Idle& idle) {
-  const bool was_in_tx = c.in_tx;
-  if (!is_expected_state(c, idle.state)) return false;
-  Pool& p = pools_[c.instance];
-  p.timeouts_in_a_row = 0;
-  if (idle.position) p.vector.raise(*idle.position);
-  c.in_tx = idle.state != 'I';
-  if (c.stage == Connection::Stage::kCleanup) {
-    timers_.cancel(c.timer);
-    // Values and names that were set inside of what is rolled back may be gone or not.
-    if (std::exchange(c.tx_configured, false)) c.values_unknown = true;
-    return return_connection(c), true;
+// Handles the end of an answer. Returns false if the answer does not fit the statement.
+bool Engine::finish_step(Connection& connection, const sql_protocol::Idle& idle) {
+  const bool was_in_tx = connection.in_tx;
+  if (!is_expected_state(connection, idle.state)) return false;
+  Pool& pool = pools_[connection.instance];
+  pool.timeouts_in_a_row = 0;
+  if (idle.position) pool.vector.raise(*idle.position);
+  connection.in_tx = idle.state != 'I';
+  if (connection.stage == Connection::Stage::kCleanup) {
+    timers_.cancel(connection.timer);
+    // A rollback may or may not undo the values and prepared statements set in its transaction.
+    if (std::exchange(connection.tx_configured, false)) connection.values_unknown = true;
+    return return_connection(connection), true;
   }
-  if (!find_session(c.session)) timers_.cancel(c.timer);
-  if (c.stage == Connection::Stage::kStatement) return finish_statement(c, idle), true;
+  if (!find_session(connection.session)) timers_.cancel(connection.timer);
+  if (connection.stage == Connection::Stage::kStatement) return finish_statement(connection, idle), true;
   // setup
-  if (!c.error_code.empty()) return on_setup_error(c, idle.state), true;
-  if (!find_session(c.session)) {
-    c.values_unknown = true;
-    if (was_in_tx) c.tx_configured = true;
-    return send_next_step(c), true;
+  if (!connection.error_code.empty()) return on_setup_error(connection, idle.state), true;
+  if (!find_session(connection.session)) {
+    connection.values_unknown = true;
+    if (was_in_tx) connection.tx_configured = true;
+    return send_next_step(connection), true;
   }
-  std::string text = std::move(c.setup_steps.front());
-  c.setup_steps.pop_front();
+  std::string text = std::move(connection.setup_steps.front());
+  connection.setup_steps.pop_front();
   auto st = sql_protocol::parse_statement(text);
   if (st.verb == Verb::kConfigure) {
-    c.values[std::string(st.name)] = std::string(st.rest);
-    if (c.in_tx) c.tx_configured = true;
+    connection.values[std::string(st.name)] = std::string(st.rest);
+    if (connection.in_tx) connection.tx_configured = true;
   } else if (st.verb == Verb::kPrepare) {
-    c.prepared[std::string(st.rest)] = std::string(st.name);
-    if (c.in_tx) c.tx_configured = true;
+    connection.prepared[std::string(st.rest)] = std::string(st.name);
+    if (connection.in_tx) connection.tx_configured = true;
   } else if (text == "RESET") {
-    c.values_unknown = false;
+    connection.values_unknown = false;
   }
-  return send_next_step(c), true;
+  return send_next_step(connection), true;
 }
 
-// Whether this end of an answer can be that of what was asked. A success leaves the transaction open or not
-// as the statement has it, and one that the client is told of bears a stamp.
-bool Engine::is_expected_state(const Connection& c, char state) const {
-  if (c.stage == Connection::Stage::kCleanup) return state == 'I';
-  if (!c.completed) return true;
-  if (c.stage == Connection::Stage::kSetup) {
-    // Of a client that has gone the statement is not known any more: what follows puts all of it in order.
-    if (c.setup_steps.empty()) return true;
-    bool begin = c.setup_steps.front().ends_with("BEGIN") || c.setup_steps.front().ends_with("BEGIN FETCH");
-    return (state == 'T') == (begin || c.in_tx) && state != 'E';
+// Whether the transaction state at the end of an answer fits the statement. A success leaves a transaction
+// open or not as the statement demands, and the success of a client's statement carries a stamp.
+bool Engine::is_expected_state(const Connection& connection, char state) const {
+  if (connection.stage == Connection::Stage::kCleanup) return state == 'I';
+  if (!connection.completed) return true;
+  if (connection.stage == Connection::Stage::kSetup) {
+    // The client has gone and its setup steps are cleared: the cleanup that follows restores the connection.
+    if (connection.setup_steps.empty()) return true;
+    bool begin = connection.setup_steps.front().ends_with("BEGIN") ||
+                 connection.setup_steps.front().ends_with("BEGIN FETCH");
+    return (state == 'T') == (begin || connection.in_tx) && state != 'E';
   }
-  if (c.stamp.empty() || c.stamp == "-") return false;
-  auto s = sessions_.find(c.session);
+  if (connection.stamp.empty() || connection.stamp == "-") return false;
+  auto s = sessions_.find(connection.session);
   if (s == sessions_.end()) return true;
   bool open = s->second.state == 'T' && s->second.statement.verb != Verb::kCommit;
   return state == (open ? 'T' : 'I');
 }
 
-// A setup statement met an error: the client's statement has not run.
-void Engine::on_setup_error(Connection& c, char) {
-  Session* s = find_session(c.session);
-  std::string code = c.error_code;
-  InstanceId instance = c.instance;
-  Pool& p = pools_[instance];
-  if (code == "LAGGING") p.lagging_until = now_ + kLaggingAvoidMs;
-  bool begin = !c.setup_steps.empty() && c.setup_steps.front().find("BEGIN") != std::string::npos;
-  c.session = 0;
-  if (s) s->conn = 0;
-  if (begin && !c.in_tx)
-    return_connection(c);
+// A setup statement failed, so that the client's statement has not run.
+void Engine::on_setup_error(Connection& connection, char) {
+  Session* session = find_session(connection.session);
+  std::string code = connection.error_code;
+  InstanceId instance = connection.instance;
+  Pool& pool = pools_[instance];
+  if (code == "LAGGING") pool.lagging_until = now_ + kLaggingAvoidMs;
+  bool begin =
+      !connection.setup_steps.empty() && connection.setup_steps.front().find("BEGIN") != std::string::npos;
+  connection.session = 0;
+  if (session) session->conn = 0;
+  if (begin && !connection.in_tx)
+    return_connection(connection);
   else
-    discard_connection(c.id, false);
-  if (!s) return;
-  s->statement.tried.push_back(instance);
-  on_statement_lost(*s, false);
+    discard_connection(connection.id, false);
+  if (!session) return;
+  session->statement.tried.push_back(instance);
+  on_statement_lost(*session, false);
 }
 
-void Engine::finish_statement(Connection& c, const sql_protocol::Idle& idle) {
-  Pool& p = pools_[c.instance];
-  Session* s = find_session(c.session);
-  if (!s) {
-    if (!c.in_tx) {
-      if (c.tx_configured) c.values_unknown = true;
-      c.tx_configured = false;
-      return return_connection(c);
+void Engine::finish_statement(Connection& connection, const sql_protocol::Idle& idle) {
+  Pool& pool = pools_[connection.instance];
+  Session* session = find_session(connection.session);
+  if (!session) {
+    if (!connection.in_tx) {
+      if (connection.tx_configured) connection.values_unknown = true;
+      connection.tx_configured = false;
+      return return_connection(connection);
     }
-    c.values_unknown = true;
-    return send_next_step(c);
+    connection.values_unknown = true;
+    return send_next_step(connection);
   }
-  StatementState& w = s->statement;
-  record_result(c.instance, c.error_code != "EXECFAILED" && c.error_code != "TIMEOUT", now_ - w.sent_at);
-  if (s->route->type == RouteType::kPrimary && c.error_code != "THROTTLED")
-    p.primary_latency.record(now_ - w.sent_at);
-  auto& latency = p.latency[s->route->name];
-  double took = double(now_ - w.sent_at);
+  StatementState& statement = session->statement;
+  record_result(connection.instance,
+                connection.error_code != "EXECFAILED" && connection.error_code != "TIMEOUT",
+                now_ - statement.sent_at);
+  if (session->route->type == RouteType::kPrimary && connection.error_code != "THROTTLED")
+    pool.primary_latency.record(now_ - statement.sent_at);
+  auto& latency = pool.latency[session->route->name];
+  double took = double(now_ - statement.sent_at);
   bool old = now_ - latency.at > kLatencyTtlMs;
   latency = {old ? took : latency.mean + (took - latency.mean) * kLatencyWeight, now_};
-  double& slowest = p.slowest[s->route->name];
-  slowest = std::max(double(now_ - w.sent_at), slowest * kWorstLatencyDecay);
+  double& slowest = pool.slowest[session->route->name];
+  slowest = std::max(double(now_ - statement.sent_at), slowest * kWorstLatencyDecay);
   if (idle.position) {
-    if (c.observes_position) {
-      freshness_[c.service].observe(w.sent_at, *idle.position);
-      observed_positions_[c.service] = {w.sent_at, *idle.position};
+    if (connection.observes_position) {
+      freshness_[connection.service].observe(statement.sent_at, *idle.position);
+      observed_positions_[connection.service] = {statement.sent_at, *idle.position};
     }
-    if (c.error_code.empty()) {  // a result: replaced by the executing database's, as the paper has it
-      s->vector = LVector(*idle.position);
-      s->vector_service = c.service;
+    if (connection.error_code
+            .empty()) {  // as in the L-vector paper, a result replaces the session's vector by that
+                         // of its database
+      session->vector = LVector(*idle.position);
+      session->vector_service = connection.service;
     }
   }
-  bool wrote = w.verb == Verb::kCommit ? s->tx_wrote : !w.read && s->state != 'T';
-  if (wrote && c.error_code.empty() && !may_confirm_commits(c.service, c.instance))
-    return on_connection_lost(c.id, false, false);
-  std::string code = std::move(c.error_code), text = std::move(c.error_text);
-  bool tx = s->state == 'T';
-  bool movable = !tx || !s->tx_answered;
-  bool again = not_run(code) || (code == "EXECFAILED" && w.read);  // a read that failed may run elsewhere
-  if (!code.empty() && again && movable && may_retry(*s)) {
-    if (code == "LAGGING") p.lagging_until = now_ + kLaggingAvoidMs;
-    if (code == "NOTFOUND") c.prepared.clear(), c.values_unknown = true;
-    if (code != "NOTFOUND") w.tried.push_back(c.instance);
-    if (tx && !w.read) s->tx_wrote = false;
-    s->conn = 0;
-    c.session = 0;
-    SessionId sid = s->id;
-    if (c.in_tx)
-      send_next_step(c);
+  bool wrote = statement.verb == Verb::kCommit ? session->tx_wrote : !statement.read && session->state != 'T';
+  if (wrote && connection.error_code.empty() && !may_confirm_commits(connection.service, connection.instance))
+    return on_connection_lost(connection.id, false, false);
+  std::string code = std::move(connection.error_code), text = std::move(connection.error_text);
+  bool tx = session->state == 'T';
+  bool movable = !tx || !session->tx_answered;
+  bool again = not_run(code) || (code == "EXECFAILED" && statement.read);  // a failed read may run elsewhere
+  if (!code.empty() && again && movable && may_retry(*session)) {
+    if (code == "LAGGING") pool.lagging_until = now_ + kLaggingAvoidMs;
+    if (code == "NOTFOUND") connection.prepared.clear(), connection.values_unknown = true;
+    if (code != "NOTFOUND") statement.tried.push_back(connection.instance);
+    if (tx && !statement.read) session->tx_wrote = false;
+    session->conn = 0;
+    connection.session = 0;
+    SessionId sid = session->id;
+    if (connection.in_tx)
+      send_next_step(connection);
     else
-      return_connection(c);
+      return_connection(connection);
     return route_statement(sid);
   }
   std::string body;
-  auto& seen = route_counts_[s->route->name];
+  auto& seen = route_counts_[session->route->name];
   if (!code.empty())
     ++seen.failed;
-  else if (now_ - w.started_at > s->route->latency_target_ms)
+  else if (now_ - statement.started_at > session->route->latency_target_ms)
     ++seen.late;
   if (code.empty()) {
-    body = std::move(w.rows);
-    body.append("COMPLETE ").append(c.stamp).append("\r\n");
-    s->tx_answered = true;
+    body = std::move(statement.rows);
+    body.append("COMPLETE ").append(connection.stamp).append("\r\n");
+    session->tx_answered = true;
   } else {
-    if (code == "LAGGING") p.lagging_until = now_ + kLaggingAvoidMs;
+    if (code == "LAGGING") pool.lagging_until = now_ + kLaggingAvoidMs;
     body = sql_protocol::error(code, text);
   }
   char state = tx ? idle.state : 'I';
-  if (!code.empty() && state == 'T') state = 'E';  // whatever went wrong in it, nothing of it will be kept
-  clear_statement(*s);
-  SessionId sid = s->id;
-  if (c.tx_configured && idle.state != 'T') {
-    if (!code.empty() || idle.state == 'E') c.values_unknown = true;
-    c.tx_configured = false;
+  if (!code.empty() && state == 'T') state = 'E';  // after any error nothing of the transaction is kept
+  clear_statement(*session);
+  SessionId sid = session->id;
+  if (connection.tx_configured && idle.state != 'T') {
+    if (!code.empty() || idle.state == 'E') connection.values_unknown = true;
+    connection.tx_configured = false;
   }
   if (state == 'T') {
-    c.stage = Connection::Stage::kIdle;
-    s->state = 'T';
+    connection.stage = Connection::Stage::kIdle;
+    session->state = 'T';
   } else {
-    s->state = state;
-    s->conn = 0;
-    if (state == 'I') s->route = nullptr;
-    c.session = 0;
-    c.stage = Connection::Stage::kIdle;
+    session->state = state;
+    session->conn = 0;
+    if (state == 'I') session->route = nullptr;
+    connection.session = 0;
+    connection.stage = Connection::Stage::kIdle;
   }
-  send_answer(*s, std::move(body));
+  send_answer(*session, std::move(body));
   if (state == 'T') {
-    const PrimaryAssignment* l = cluster_.primary_of(c.service);
-    if (l && l->suspended && suspended_since_.count(c.service) && suspended_since_[c.service] < 0 &&
-        l->primary == c.instance)
-      discard_transaction(*s);
-  } else if (c.in_tx) {
-    send_next_step(c);
+    const PrimaryAssignment* lead = cluster_.primary_of(connection.service);
+    if (lead && lead->suspended && suspended_since_.count(connection.service) &&
+        suspended_since_[connection.service] < 0 && lead->primary == connection.instance)
+      discard_transaction(*session);
+  } else if (connection.in_tx) {
+    send_next_step(connection);
   } else {
-    return_connection(c);  // it may be closed: it is not looked at any more
+    return_connection(connection);  // may close the connection: c is not used afterwards
   }
-  if (Session* x = find_session(sid)) resume_session(*x);
+  if (Session* live_session = find_session(sid)) resume_session(*live_session);
 }
 
-bool Engine::may_retry(const Session& s) const {
-  return s.statement.attempts < s.route->max_attempts && now_ < s.statement.deadline;
+bool Engine::may_retry(const Session& session) const {
+  return session.statement.attempts < session.route->max_attempts && now_ < session.statement.deadline;
 }
 
-// The connection under the statement is gone, or the statement could not be offered.
-void Engine::on_statement_lost(Session& s, bool sent) {
-  StatementState& w = s.statement;
-  bool tx = s.state == 'T';
-  bool movable = !tx || !s.tx_answered;
-  timers_.cancel(w.soft_timer);
-  if ((!sent || w.read) && movable && may_retry(s)) return route_statement(s.id);
-  SessionId id = s.id;
-  Verb verb = w.verb;
-  if (s.route) ++route_counts_[s.route->name].failed;
-  bool unsure = sent && (verb == Verb::kCommit ? s.tx_wrote : !tx && !w.read);
-  clear_statement(s);
+// The connection of the statement is gone, or the statement could not be sent: retries it or answers the
+// client.
+void Engine::on_statement_lost(Session& session, bool sent) {
+  StatementState& statement = session.statement;
+  bool tx = session.state == 'T';
+  bool movable = !tx || !session.tx_answered;
+  timers_.cancel(statement.soft_timer);
+  if ((!sent || statement.read) && movable && may_retry(session)) return route_statement(session.id);
+  SessionId id = session.id;
+  Verb verb = statement.verb;
+  if (session.route) ++route_counts_[session.route->name].failed;
+  bool unsure = sent && (verb == Verb::kCommit ? session.tx_wrote : !tx && !statement.read);
+  clear_statement(session);
   if (unsure) {
-    s.state = 'I';
-    s.route = nullptr;
-    send_answer(s,
+    session.state = 'I';
+    session.route = nullptr;
+    send_answer(session,
                 sql_protocol::error("UNKNOWN", "the database gave no answer; the write may be kept or not"));
   } else if (tx) {
-    end_transaction(s, verb == Verb::kCommit ? 'I' : 'E');
-    send_answer(
-        s, sql_protocol::error("ABORTED", "the database was lost and nothing of the transaction is kept"));
+    end_transaction(session, verb == Verb::kCommit ? 'I' : 'E');
+    send_answer(session, sql_protocol::error("ABORTED",
+                                             "the database was lost and nothing of the transaction is kept"));
   } else {
-    fail_statement(s, "THROTTLED",
-                   "retry-after-ms=" + std::to_string(s.route ? s.route->latency_target_ms / 2 : 50) +
-                       " no database could run it");
+    fail_statement(
+        session, "THROTTLED",
+        "retry-after-ms=" + std::to_string(session.route ? session.route->latency_target_ms / 2 : 50) +
+            " no database could run it");
   }
-  if (Session* x = find_session(id)) resume_session(*x);
+  if (Session* live_session = find_session(id)) resume_session(*live_session);
 }
 
-// No answer for much longer than usual.
+// An answer takes much longer than usual: a read is retried elsewhere, a write is left to run for a while.
 void Engine::on_soft_timeout(SessionId id) {
-  Session* s = find_session(id);
-  if (!s || !s->statement.active || !s->conn) return;
-  Connection* c = find_connection(s->conn);
-  if (!c) return;
-  Pool& p = pools_[c->instance];
-  StatementState& w = s->statement;
-  InstanceId instance = c->instance;
-  bool silent = p.last_answer < w.sent_at && ++p.timeouts_in_a_row >= kTimeoutsUntilReport;
-  // Where this node asks seldom, its next request is far off: others have met it as well.
-  bool seldom = p.last_answer < w.sent_at - kRarelyUsedAfterMs;
+  Session* session = find_session(id);
+  if (!session || !session->statement.active || !session->conn) return;
+  Connection* connection = find_connection(session->conn);
+  if (!connection) return;
+  Pool& pool = pools_[connection->instance];
+  StatementState& statement = session->statement;
+  InstanceId instance = connection->instance;
+  bool silent = pool.last_answer < statement.sent_at && ++pool.timeouts_in_a_row >= kTimeoutsUntilReport;
+  // A rarely used database is reported after one missed answer: this node's next request may be far off, and
+  // the controller combines the reports of several nodes.
+  bool seldom = pool.last_answer < statement.sent_at - kRarelyUsedAfterMs;
   if (silent || seldom) {
-    p.reported_failing = true;
+    pool.reported_failing = true;
     callbacks_.report_failure(instance, silent ? EngineCallbacks::FailureKind::kNoAnswers
                                                : EngineCallbacks::FailureKind::kSingleTimeout);
   }
-  bool tx = s->state == 'T';
-  bool movable = !tx || !s->tx_answered;
-  bool elsewhere = w.read && movable && may_retry(*s);
-  if (!elsewhere && !w.soft_timeout_extended) {
-    w.soft_timeout_extended = true;
-    w.soft_timer = timers_.at(now_ + 2 * soft_timeout(instance, *s), [this, id] {
-      if (Session* x = find_session(id)) {
-        x->statement.soft_timer = 0;
+  bool tx = session->state == 'T';
+  bool movable = !tx || !session->tx_answered;
+  bool elsewhere = statement.read && movable && may_retry(*session);
+  if (!elsewhere && !statement.soft_timeout_extended) {
+    statement.soft_timeout_extended = true;
+    statement.soft_timer = timers_.at(now_ + 2 * soft_timeout(instance, *session), [this, id] {
+      if (Session* live_session = find_session(id)) {
+        live_session->statement.soft_timer = 0;
         on_soft_timeout(id);
       }
     });
     if (silent) block_database(instance);
     return;
   }
-  if (tx && w.verb != Verb::kCommit && !elsewhere) {
-    // Its COMMIT has not been asked for, so closing the connection undoes it: the client may begin anew.
-    ConnectionId conn = s->conn;
-    s->conn = 0;
+  if (tx && statement.verb != Verb::kCommit && !elsewhere) {
+    // COMMIT has not been sent, so closing the connection rolls the transaction back and the client may retry
+    // it.
+    ConnectionId conn = session->conn;
+    session->conn = 0;
     discard_connection(conn, false);
-    w.attempts = kNoMoreAttempts;
-    return on_statement_lost(*s, true);
+    statement.attempts = kNoMoreAttempts;
+    return on_statement_lost(*session, true);
   }
   if (!elsewhere) return;
-  // A read may run twice: try it elsewhere, or there again on another connection.
-  if (p.last_answer < w.sent_at) record_result(instance, false, now_ - w.sent_at);
-  ConnectionId conn = s->conn;
-  s->conn = 0;
-  c->session = 0;
+  // A read may run twice: it is tried at another database, or at the same one on another connection.
+  if (pool.last_answer < statement.sent_at) record_result(instance, false, now_ - statement.sent_at);
+  ConnectionId conn = session->conn;
+  session->conn = 0;
+  connection->session = 0;
   discard_connection(conn, false);
   if (silent) block_database(instance);
-  const PrimaryAssignment* l = cluster_.primary_of(s->route->service);
-  if (!l || l->primary != instance) w.tried.push_back(instance);
+  const PrimaryAssignment* lead = cluster_.primary_of(session->route->service);
+  if (!lead || lead->primary != instance) statement.tried.push_back(instance);
   route_statement(id);
 }
 
 void Engine::on_deadline(SessionId id) {
-  Session* s = find_session(id);
-  if (!s || !s->statement.active) return;
-  Connection* c = find_connection(s->conn);
-  if (c && s->statement.sent) record_result(c->instance, false, now_ - s->statement.sent_at);
-  if (c && pools_[c->instance].last_answer < s->statement.sent_at) {
-    pools_[c->instance].reported_failing = true;
-    callbacks_.report_failure(c->instance, EngineCallbacks::FailureKind::kNoAnswers);
+  Session* session = find_session(id);
+  if (!session || !session->statement.active) return;
+  Connection* connection = find_connection(session->conn);
+  if (connection && session->statement.sent)
+    record_result(connection->instance, false, now_ - session->statement.sent_at);
+  if (connection && pools_[connection->instance].last_answer < session->statement.sent_at) {
+    pools_[connection->instance].reported_failing = true;
+    callbacks_.report_failure(connection->instance, EngineCallbacks::FailureKind::kNoAnswers);
   }
-  abort_statement(*s, "no database could run it in time");
+  abort_statement(*session, "no database could run it in time");
 }
 
-// Ends the statement under way, wherever it is, and tells the client what is known of it.
+// Ends the current statement, wherever it is, and answers the client with what is known of its outcome.
 void Engine::abort_statement(Session& s, std::string_view why_not_sent) {
   const SessionId id = s.id;
   const bool sent = s.statement.sent && s.conn;
   discard_connection(std::exchange(s.conn, 0), false);
-  Session* session = find_session(id);  // closing a connection may give others their turn
+  Session* session = find_session(id);  // discarding a connection may run other sessions
   if (!session || !session->statement.active) return;
   if (!sent) return refuse_statement(*session, "THROTTLED", std::string(why_not_sent));
   session->statement.attempts = kNoMoreAttempts;
--- a/src/pooler/latency_tracker.h
+++ b/src/pooler/latency_tracker.h
@@ -1,4 +1,4 @@
-// How fast a primary answers, against how fast it usually does. Tells a slow database from a busy one.
+// Compares the latency of a primary with its own baseline, to tell a slow database from a busy one.
 #pragma once
 #include <algorithm>
 #include <vector>
@@ -12,9 +12,10 @@
  public:
   void record(Millis latency) { latencies_.push_back(latency); }
 
-  // Closes a window. True when the database is slow: its usual answer (the median, which a lossy link
-  // leaves alone) takes several times as long as ever, though it gets no more done than usual. What it is
-  // asked tells nothing: statements it turns away are offered again.
+  // Closes a window. Returns true when the database is slow: its median latency is several times the baseline
+  // though it completes no more statements than usual. The median is used because packet loss on the link
+  // delays only some answers. Completed statements are counted rather than offered ones, because statements
+  // that the database refuses are offered again.
   bool close_window() {
     bool slow = false;
     if (latencies_.size() >= std::size_t(kMinAnswersInWindow)) {
--- a/src/pooler/lvector.h
+++ b/src/pooler/lvector.h
@@ -1,8 +1,9 @@
-// The L-vector of a service's log, as seen by one database or one session.
+// The L-vector of a service's log: the newest log position that one database or one session has seen.
 //
-// An entry per primary, that is per term; entries are compared from the newest term to the oldest.
-// A log that stands at TERM.NUMBER has fixed what every earlier term left in it, so all entries below
-// the newest follow from the newest: it alone is kept, and comparing it is the lexicographic order.
+// In full, the vector has an entry per primary, that is per term, and entries are compared from the newest
+// term to the oldest. A log at position TERM.NUMBER has a fixed content for every earlier term, so all older
+// entries follow from the newest. Only the newest entry is stored; comparing it gives the same lexicographic
+// order.
 #pragma once
 #include "base/types.h"
 
