--- a/src/pooler/engine_statements.cc
+++ b/src/pooler/engine_statements.cc
@@ -307,9 +307,8 @@
       freshness_[connection.service].observe(statement.sent_at, *idle.position);
       observed_positions_[connection.service] = {statement.sent_at, *idle.position};
     }
-    if (connection.error_code
-            .empty()) {  // as in the L-vector paper, a result replaces the session's vector by that
-                         // of its database
+    // As in the L-vector paper, a result replaces the session's vector by that of its database.
+    if (connection.error_code.empty()) {
       session->vector = LVector(*idle.position);
       session->vector_service = connection.service;
     }
