--- a/tests/replication/replica_cluster.h
+++ b/tests/replication/replica_cluster.h
@@ -23,43 +23,45 @@
   std::string host;
   MemoryStorage disk;
   std::unique_ptr<Replica> replica;
-  SimulatedReplica(ReplicaCluster& f, std::string h) : cluster(f), host(std::move(h)) {}
-  void send(const std::string& to, const replication::Message& m) override;
-  replication::ValidationResult validate(const StateTable& state, const Json& u) override {
+  SimulatedReplica(ReplicaCluster& owner, std::string own_host) : cluster(owner), host(std::move(own_host)) {}
+  void send(const std::string& to, const replication::Message& message) override;
+  replication::ValidationResult validate(const StateTable& state, const Json& command) override {
     // {key, expect, value}: a compare-and-set, as the configuration and the leads use it.
-    const Row* r = state.find(u["key"]);
-    std::string current = r ? r->value : "";
-    if (current == u["value"]) return {};
-    if (current != u["expect"]) return {Status::conflict("lost the race"), {}};
+    const Row* row = state.find(command["key"]);
+    std::string current = row ? row->value : "";
+    if (current == command["value"]) return {};
+    if (current != command["expect"]) return {Status::conflict("lost the race"), {}};
     return {Status::ok(),
-            {{u["key"], u["value"], 0, u["value"] == ""}}};  // an empty value takes the row away
+            {{command["key"], command["value"], 0,
+              command["value"] == ""}}};  // an empty value takes the row away
   }
   int commit_count = 0;  // of what is committed: each is fed to every node
   void on_committed() override;
-  void log_event(const std::string& t) override;
+  void log_event(const std::string& event) override;
 };
 
 struct ReplicaCluster {
   // The first `founders` of n cores are the seeds.
-  explicit ReplicaCluster(std::uint32_t seed, int n = 3, int founders = 3, std::size_t tolerated_losses = 1)
+  explicit ReplicaCluster(std::uint32_t seed, int replica_count = 3, int seed_count = 3,
+                          std::size_t tolerated_losses = 1)
       : net(seed), tolerated_losses(tolerated_losses) {
-    for (int i = 0; i < n; ++i) hosts.push_back("core" + std::to_string(i));
-    seeds.assign(hosts.begin(), hosts.begin() + founders);
+    for (int i = 0; i < replica_count; ++i) hosts.push_back("core" + std::to_string(i));
+    seeds.assign(hosts.begin(), hosts.begin() + seed_count);
     for (auto& host : hosts) start(host, true);
-    net.deliver = [this](const std::string& to, const std::string& from, const Json& m) {
-      auto& c = cores[to];
-      if (c && c->replica) receive_encoded(*c->replica, net.now, from, m);
+    net.deliver = [this](const std::string& to, const std::string& from, const Json& message) {
+      auto& core = cores[to];
+      if (core && core->replica) receive_encoded(*core->replica, net.now, from, message);
     };
   }
   Replica& at(const std::string& host) { return *cores[host]->replica; }
   bool is_running(const std::string& host) { return cores[host] && cores[host]->replica; }
   void start(const std::string& host, bool bootstrap = false) {
-    auto& c = cores[host];
-    if (!c) c = std::make_unique<SimulatedReplica>(*this, host);
-    c->replica = std::make_unique<Replica>(
+    auto& core = cores[host];
+    if (!core) core = std::make_unique<SimulatedReplica>(*this, host);
+    core->replica = std::make_unique<Replica>(
         replication::ReplicaOptions{host, seeds, bootstrap, tolerated_losses,
                                     std::uint64_t(net.rng()) << 20 | net.rng(), chunk_bytes},
-        c->disk, *c, net.now);
+        core->disk, *core, net.now);
   }
   void stop(const std::string& host, bool lose_disk = false) {
     cores[host]->replica.reset();
@@ -83,12 +85,12 @@
         if (net.now % 20 == 0) at(host).tick(net.now);
         if (at(host).is_leader(net.now)) {
           ++leaders;
-          auto token = at(host).view().term;
+          auto term = at(host).view().term;
           if (at(host).self() != last_leader) {
-            ASSERT_GT(token, highest_term) << "a new holder without a higher token";
+            ASSERT_GT(term, highest_term) << "a new holder without a higher token";
           }
           last_leader = at(host).self();
-          highest_term = token;
+          highest_term = term;
         }
         tails += at(host).is_tail() && at(host).holds_lease(net.now);
       }
@@ -100,9 +102,9 @@
   void check_history() {
     for (auto& host : hosts) {
       if (!is_running(host) || !at(host).all_committed()) continue;
-      for (auto& r : at(host).state().rows_after(0)) {
-        auto [it, fresh] = history.emplace(r.sequence, r);
-        ASSERT_EQ(it->second, r) << "number " << r.sequence << " stands for two rows";
+      for (auto& row : at(host).state().rows_after(0)) {
+        auto [it, inserted] = history.emplace(row.sequence, row);
+        ASSERT_EQ(it->second, row) << "number " << row.sequence << " stands for two rows";
       }
     }
   }
@@ -110,16 +112,16 @@
              const std::string& value) {
     int status = -1;
     at(host).submit(net.now, {{"key", key}, {"expect", expect}, {"value", value}},
-                    [&status](Status a) { status = answer_code(a); });
+                    [&status](Status answer) { status = answer_code(answer); });
     run(replication::kSubmitTimeoutMs + 50);
     return status;
   }
   std::optional<std::string> read(const std::string& host, const std::string& key) {
-    std::optional<std::string> out;
+    std::optional<std::string> value;
     at(host).read(net.now, key,
-                  [&out](Result<std::optional<std::string>> read) { out = read ? *read : std::nullopt; });
+                  [&value](Result<std::optional<std::string>> read) { value = read ? *read : std::nullopt; });
     run(replication::kSubmitTimeoutMs + 50);
-    return out;
+    return value;
   }
   SimulatedNetwork net;
   std::size_t tolerated_losses, chunk_bytes = replication::kStateChunkBytes;
@@ -130,12 +132,12 @@
   std::uint64_t highest_term = 0;
 };
 
-inline void SimulatedReplica::send(const std::string& to, const replication::Message& m) {
-  cluster.net.send(replica ? replica->self() : host, replication::host_of(to), replication::encode(m));
+inline void SimulatedReplica::send(const std::string& to, const replication::Message& message) {
+  cluster.net.send(replica ? replica->self() : host, replication::host_of(to), replication::encode(message));
 }
-inline void SimulatedReplica::log_event(const std::string& t) {
+inline void SimulatedReplica::log_event(const std::string& event) {
   if (std::getenv("CHAIN_NOTES"))
-    std::printf("%lld %s: %s\n", (long long)cluster.net.now, host.c_str(), t.c_str());
+    std::printf("%lld %s: %s\n", (long long)cluster.net.now, host.c_str(), event.c_str());
 }
 inline void SimulatedReplica::on_committed() {
   ++commit_count;
--- a/tests/replication/simulated_network.h
+++ b/tests/replication/simulated_network.h
@@ -44,7 +44,7 @@
   }
   // A process ends: what was on its way to and from it is gone.
   void drop_messages_of(const std::string& node) {
-    std::erase_if(queue_, [&](auto& e) { return e.second.from == node || e.second.to == node; });
+    std::erase_if(queue_, [&](auto& entry) { return entry.second.from == node || entry.second.to == node; });
   }
 
  private:
