--- a/tests/replication/encoded_messages.h
+++ b/tests/replication/encoded_messages.h
@@ -1,4 +1,4 @@
-// Messages in tests go in their encoded form, as they do between processes.
+// Helpers that pass messages to replicas in their encoded form, as between processes.
 #pragma once
 #include "net/http.h"
 #include "replication/codec.h"
@@ -6,7 +6,7 @@
 
 namespace pebblespindle::test {
 
-// As a controller does: what is malformed is not handed to the replica.
+// Drops malformed messages, as a controller does.
 inline void receive_encoded(replication::Replica& replica, Instant now, const std::string& from,
                             const Json& encoded) {
   if (auto message = replication::decode(encoded)) replica.receive(now, from, *message);
@@ -16,7 +16,7 @@
   return bool(replication::decode(encoded));
 }
 
-// The code that a caller gets; 0 when the chain gave no answer.
+// The HTTP status that a caller would receive; 0 if the chain gave no answer.
 inline int answer_code(const Status& status) {
   return status.code() == StatusCode::kNoAnswer ? 0 : http_status(status);
 }
--- a/tests/replication/faulty_cluster.h
+++ b/tests/replication/faulty_cluster.h
@@ -1,4 +1,5 @@
-// A simulated core with machines that hang at it, writers and readers, and what must hold after each step.
+// A simulated cluster under faults: replicas, nodes that hold leases and receive configuration from them,
+// writers and readers. The invariants are checked after each step.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -15,8 +16,8 @@
 
 namespace pebblespindle::test {
 
-// Seeds of a run: the usual number, or as many as PEBBLESPINDLE_SEEDS asks for, from PEBBLESPINDLE_FIRST_SEED
-// on.
+// Runs a simulation for each seed: default_count seeds, or as many as PEBBLESPINDLE_SEEDS says, beginning
+// with PEBBLESPINDLE_FIRST_SEED.
 inline std::uint32_t number_from_environment(const char* name, std::uint32_t default_count) {
   const char* text = std::getenv(name);
   return text ? std::uint32_t(std::atol(text)) : default_count;
@@ -32,18 +33,19 @@
   return row ? std::stoi(row->value) : 0;
 }
 
-// A machine that hangs at a core: holds a lease there and is fed, under the very conditions of the process.
+// A node that holds a lease at a controller and receives configuration from it, under the same conditions as
+// in the process.
 struct SimulatedNode {
   std::string name, controller_host;
   StateCache cache;
   Millis heard_at = -10000, renewed_at = 0;
 };
 
-// One writer a key, so that no order of it may ever be refused: it builds on what was acknowledged and is
-// offered as it was, to any core, until it is.
+// The only writer of its key: each change builds on the last acknowledged one and is submitted unchanged, to
+// any replica, until it is acknowledged. So none of its changes may be refused.
 struct Writer {
   std::string key;
-  int value = 0, acknowledged = 0, read = 0;  // read: the newest that a caller has been told
+  int value = 0, acknowledged = 0, read = 0;  // read: the newest value that a reader has received
   bool done = true;
   Millis next = 0;
   int floor() const { return std::max(acknowledged, read); }
@@ -59,7 +61,7 @@
         if (node.name == to) return receive_at_node(node, from, message);
         if (node.name == from) return receive_from_node(to, node, message);
       }
-      if (message["t"] != "b") message_handled = true;  // a beat seats nobody at the one that hears it
+      if (message["t"] != "b") message_handled = true;  // a heartbeat gives no lease to its receiver
       auto core = cores.find(to);
       if (core != cores.end() && core->second && core->second->replica)
         receive_encoded(*core->second->replica, net.now, from, message);
@@ -68,7 +70,7 @@
   std::string random_host() { return hosts[std::size_t(net.pick(int(hosts.size())))]; }
   Millis now() const { return net.now; }
 
-  // What a core does for a machine that hangs at it (Controller::on_agent).
+  // Handles a node's message as Controller::on_agent does.
   void receive_from_node(const std::string& host, SimulatedNode& node, const Json& message) {
     if (!is_running(host)) return;
     Replica& replica = at(host);
@@ -92,19 +94,20 @@
                             net.send(host, to, {{"t", "line"}, {"l", line}});
                           });
   }
-  // Whatever is handed out holds all that was acknowledged to anyone before.
+  // Whatever a replica hands out must include all changes acknowledged to anyone before.
   void expect_acknowledged_changes(Replica& replica, const char* what) {
     for (auto& writer : writers)
       ASSERT_GE(value_of(replica.state().find(writer.key)), writer.acknowledged)
           << replica.self() << " hands out " << what << " that lacks an acknowledged change of "
           << writer.key;
   }
-  // A redirect rests on a view that is the newest, or was within the last second.
+  // A redirect must rest on a view that is the newest, or was so within the time that a silent replica may go
+  // unnoticed.
   void expect_recent_view(Replica& replica) {
     auto next = view_seen_at.upper_bound(replica.view().number);
     if (next != view_seen_at.end()) {
       ASSERT_LE(now() - next->second, replication::kPeerTimeoutMs + 500)
-          << replica.self() << " redirects by an old view";
+          << replica.self() << " redirects by an outdated view";
     }
   }
   void receive_at_node(SimulatedNode& node, const std::string& from, const Json& message) {
@@ -155,11 +158,12 @@
                     ASSERT_GE(got, floor) << "an older state of " << writer.key << " comes back";
                     writer.read = std::max(writer.read, got);
                   });
-    // A beat that says nothing new is answered on the spot.
+    // A replica answers a node's heartbeat at once if it reports nothing new.
     if (at(host).may_serve(now())) expect_acknowledged_changes(at(host), "an answer");
   }
 
-  // Two race for a key, each with changes of its own: one that was refused is never in force.
+  // Submitters race for one key, each change with a value of its own: a change that was refused must never
+  // take effect.
   void submit_racing_change() {
     std::string host = random_host();
     if (!is_running(host)) return;
@@ -170,7 +174,8 @@
                       if (answer.is_ok()) accepted.insert(to);
                     });
   }
-  // What a racer builds on: what is in place, or what another has just sent and hopes for.
+  // The value that a racing change expects: the accepted one, or one that was just submitted and may be
+  // accepted.
   std::string race_base() {
     int base = net.chance(0.4) ? racing_changes - 1 : (accepted.empty() ? 0 : *accepted.rbegin());
     return base > 0 ? std::to_string(base) : "";
@@ -210,7 +215,7 @@
       if (replica.is_leader(now())) {
         ++heads;
         if (replica.self() != last_leader) {
-          ASSERT_GT(replica.view().term, highest_term) << "a new holder without a higher token";
+          ASSERT_GT(replica.view().term, highest_term) << "a new leader without a higher term";
         }
         last_leader = replica.self();
         highest_term = replica.view().term;
@@ -219,11 +224,11 @@
       if (replica.all_committed() && replica.committed() > checked_sequence[host]) {
         checked_sequence[host] = replica.committed();
         const Row* row = replica.state().find("race");
-        ASSERT_FALSE(row && refused.count(value_of(row))) << "what was refused is in force: " << row->value;
+        ASSERT_FALSE(row && refused.count(value_of(row))) << "a refused change took effect: " << row->value;
       }
     }
-    ASSERT_LE(heads, 1) << "two cores act as the head";
-    ASSERT_LE(tails, 1) << "two cores answer reads";
+    ASSERT_LE(heads, 1) << "two replicas act as the head";
+    ASSERT_LE(tails, 1) << "two replicas answer reads";
   }
   Replica& newest_replica() {
     Replica* newest = nullptr;
@@ -231,19 +236,21 @@
       if (is_running(host) && (!newest || at(host).view().number > newest->view().number)) newest = &at(host);
     return *newest;
   }
-  // All are in step, vote in full number, and hold what was acknowledged.
+  // Expects that all voters run, that their number is full, and that all members are in sync and hold all
+  // acknowledged changes.
   void expect_healthy(std::size_t running) {
     auto& view = newest_replica().view();
     EXPECT_EQ(view.voters.size(), std::min(running, 2 * tolerated_losses + 1)) << now();
     for (auto& name : view.voters) {
       std::string host = replication::host_of(name);
-      ASSERT_TRUE(is_running(host) && at(host).self() == name) << name << " votes and is gone, at " << now();
-      EXPECT_TRUE(view.has_member(name)) << name << " votes and is no member";
+      ASSERT_TRUE(is_running(host) && at(host).self() == name)
+          << name << " is a voter and does not run, at " << now();
+      EXPECT_TRUE(view.has_member(name)) << name << " is a voter and no member";
     }
-    for (auto& message : view.members) {
-      Replica& replica = at(replication::host_of(message.id));
-      EXPECT_TRUE(replica.self() == message.id && replica.in_sync())
-          << message.id << " is not in step at " << now();
+    for (auto& member : view.members) {
+      Replica& replica = at(replication::host_of(member.id));
+      EXPECT_TRUE(replica.self() == member.id && replica.in_sync())
+          << member.id << " is not in sync at " << now();
       expect_acknowledged_changes(replica, "a place");
     }
   }
@@ -258,10 +265,10 @@
   std::vector<SimulatedNode> nodes;
   std::map<std::string, std::map<std::string, ConfigDelivery>> deliveries;
   std::map<std::string, ConfigDelivery::SharedUpdate> shared_feeds;
-  std::map<std::uint64_t, Millis> view_seen_at;  // when a view was first known anywhere
+  std::map<std::uint64_t, Millis> view_seen_at;  // when any replica first adopted the view
   std::map<std::string, std::uint64_t> checked_sequence;
   std::set<int> refused, accepted;
-  int racing_changes = 0, answered = 0, submitted = 0;  // offered: to a core that runs
+  int racing_changes = 0, answered = 0, submitted = 0;  // submitted: to replicas that run
   bool writing = false, message_handled = false;
 };
 
--- a/tests/replication/golden_messages_test.cc
+++ b/tests/replication/golden_messages_test.cc
@@ -1,5 +1,5 @@
-// What cores send each other keeps its encoded form: a fixed scenario is played, and of each shape of message
-// the first one is held against the list that the program wrote before its code was rearranged.
+// Guards the encoded form of the messages between replicas: a fixed scenario is run, and the first message of
+// each shape must equal the recorded one in tests/data/replication_messages.txt.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -21,30 +21,30 @@
 const char* const kHead = "10.1.0.4";
 const char* const kMiddle = "10.2.0.4";
 const char* const kTail = "10.3.0.4";
-constexpr std::size_t kSmallPieceBytes = 300;
+constexpr std::size_t kSmallChunkBytes = 300;
 constexpr Millis kDelayMs = 2;
 
-// Three cores on a network without loss: nothing is drawn by lot, so each run sends the same.
+// Three replicas on a network without loss. Nothing is random, so each run sends the same messages.
 class Scenario {
  public:
   Scenario() {
     for (auto* host : {kHead, kMiddle, kTail}) start(host, true, replication::kStateChunkBytes);
   }
 
-  void start(const std::string& host, bool bootstrap = false, std::size_t piece_bytes = kSmallPieceBytes) {
+  void start(const std::string& host, bool bootstrap = false, std::size_t chunk_bytes = kSmallChunkBytes) {
     auto& core = cores_[host];
     if (!core) core = std::make_unique<Core>(*this);
-    replication::ReplicaOptions settings{host, {kHead, kMiddle, kTail}, bootstrap,
-                                         1,    life_ += 0x1000003,      piece_bytes};
-    core->node = std::make_unique<Replica>(settings, core->disk, *core, now_);
+    replication::ReplicaOptions options{host, {kHead, kMiddle, kTail},   bootstrap,
+                                        1,    incarnation_ += 0x1000003, chunk_bytes};
+    core->node = std::make_unique<Replica>(options, core->disk, *core, now_);
   }
   void stop(const std::string& host) {
     cores_[host]->node.reset();
     std::erase_if(network_,
                   [&](auto& sent) { return sent.to == host || replication::host_of(sent.from) == host; });
   }
-  void wipe(const std::string& host) { cores_[host]->disk = MemoryStorage(); }
-  void cut_off(const std::string& host) { cut_off_ = host; }
+  void lose_disk(const std::string& host) { cores_[host]->disk = MemoryStorage(); }
+  void isolate(const std::string& host) { isolated_host_ = host; }
 
   void run(Millis duration, const std::function<bool()>& until = {}) {
     for (const Millis end = now_ + duration; now_ < end; ++now_) {
@@ -66,7 +66,9 @@
                              [](const Result<std::optional<std::string>>& value) { EXPECT_TRUE(value); });
   }
   Replica& at(const std::string& host) { return *cores_[host]->node; }
-  std::size_t staged(const std::string& host) { return cores_[host]->disk.stored_staged_rows.size(); }
+  std::size_t staged_row_count(const std::string& host) {
+    return cores_[host]->disk.stored_staged_rows.size();
+  }
   Millis now() const { return now_; }
   std::vector<std::string> sent() const {
     std::vector<std::string> lines;
@@ -103,12 +105,12 @@
     while (!network_.empty() && network_.front().at <= now_) {
       const Sent next = network_.front();
       network_.pop_front();
-      if (next.to == cut_off_ || replication::host_of(next.from) == cut_off_) continue;
+      if (next.to == isolated_host_ || replication::host_of(next.from) == isolated_host_) continue;
       if (auto& core = cores_[next.to]; core && core->node)
         receive_encoded(*core->node, now_, next.from, next.message);
     }
   }
-  // Messages are alike in shape when they have the same type and fields, and mean the same by them.
+  // Messages have the same shape if they have the same type and fields and are used for the same purpose.
   void record(const Json& message) {
     const std::string type = message["t"];
     std::string shape = type;
@@ -121,8 +123,8 @@
   }
 
   Millis now_ = 1000;
-  std::uint64_t life_ = 0x1234567890;
-  std::string cut_off_;
+  std::uint64_t incarnation_ = 0x1234567890;
+  std::string isolated_host_;
   std::map<std::string, std::unique_ptr<Core>> cores_;
   std::deque<Sent> network_;
   std::map<std::string, std::string> first_of_shape_;
@@ -181,7 +183,7 @@
   return put_instance(database);
 }
 
-void change_everything(Scenario& cores) {
+void send_every_command(Scenario& cores) {
   EXPECT_EQ(cores.submit(kMiddle, put_configuration(0, configuration())), 200);
   EXPECT_EQ(cores.submit(kMiddle, put_configuration(0, configuration())), 200);
   EXPECT_EQ(cores.submit(kTail, put_configuration(0, patch())), 412);
@@ -202,16 +204,17 @@
   cores.run(500);
 }
 
-// The tail loses its disk and takes the state in small pieces, with a break; then each core is lost once.
-void lose_each_core(Scenario& cores) {
+// The tail loses its disk and receives the state in small chunks, with an interruption; then each replica is
+// lost once.
+void lose_each_replica(Scenario& cores) {
   cores.stop(kTail);
   cores.run(4500);
-  cores.wipe(kTail);
+  cores.lose_disk(kTail);
   for (auto* host : {kHead, kMiddle}) cores.stop(host);
   for (auto* host : {kHead, kMiddle}) cores.start(host);
   cores.run(2000);
   cores.start(kTail);
-  cores.run(4000, [&] { return cores.staged(kTail) >= 5; });
+  cores.run(4000, [&] { return cores.staged_row_count(kTail) >= 5; });
   cores.stop(kTail);
   cores.run(1500);
   EXPECT_EQ(cores.submit(kHead, instance("i-e5", "west", 5, 2)), 200);
@@ -223,9 +226,9 @@
   EXPECT_EQ(cores.submit(kMiddle, instance("i-g7", "west", 7, 2)), 200);
   cores.start(kHead);
   cores.run(5000);
-  cores.cut_off(kMiddle);
+  cores.isolate(kMiddle);
   cores.run(5000);
-  cores.cut_off("");
+  cores.isolate("");
   cores.run(5000);
   cores.at(kTail).begin_leaving(cores.now());
   cores.run(500);
@@ -243,8 +246,8 @@
 TEST(GoldenMessages, AFixedScenarioSendsTheSameMessagesAsEver) {
   Scenario cores;
   cores.run(2000);
-  change_everything(cores);
-  lose_each_core(cores);
+  send_every_command(cores);
+  lose_each_replica(cores);
   if (const char* path = std::getenv("WRITE_GOLDEN")) {
     std::ofstream file(path);
     for (auto& line : cores.sent()) file << line << "\n";
@@ -265,7 +268,8 @@
       Json wrong = message;
       wrong[field] = Json{{"no", "such"}};
       const bool free_form =
-          field == "st" || (field == "u" && message["t"] == "sub");  // checked where it is used
+          field == "st" ||
+          (field == "u" && message["t"] == "sub");  // its content is checked where it is used
       EXPECT_EQ(well_formed(wrong), free_form) << wrong;
     }
   }
--- a/tests/replication/replica_cluster.h
+++ b/tests/replication/replica_cluster.h
@@ -1,4 +1,5 @@
-// A fleet of cores on a simulated network: the same code as in the process, its invariants checked each step.
+// A cluster of replicas on a simulated network. It runs the same code as the process and checks the
+// invariants at each step.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -26,22 +27,21 @@
   SimulatedReplica(ReplicaCluster& owner, std::string own_host) : cluster(owner), host(std::move(own_host)) {}
   void send(const std::string& to, const replication::Message& message) override;
   replication::ValidationResult validate(const StateTable& state, const Json& command) override {
-    // {key, expect, value}: a compare-and-set, as the configuration and the leads use it.
+    // A command {key, expect, value} is a compare-and-set, as configuration changes and primary assignments
+    // are. An empty value deletes the row.
     const Row* row = state.find(command["key"]);
     std::string current = row ? row->value : "";
     if (current == command["value"]) return {};
     if (current != command["expect"]) return {Status::conflict("lost the race"), {}};
-    return {Status::ok(),
-            {{command["key"], command["value"], 0,
-              command["value"] == ""}}};  // an empty value takes the row away
+    return {Status::ok(), {{command["key"], command["value"], 0, command["value"] == ""}}};
   }
-  int commit_count = 0;  // of what is committed: each is fed to every node
+  int commit_count = 0;  // calls of on_committed(); each feeds every node once
   void on_committed() override;
   void log_event(const std::string& event) override;
 };
 
 struct ReplicaCluster {
-  // The first `founders` of n cores are the seeds.
+  // The first `seed_count` of the replicas are the seeds.
   explicit ReplicaCluster(std::uint32_t seed, int replica_count = 3, int seed_count = 3,
                           std::size_t tolerated_losses = 1)
       : net(seed), tolerated_losses(tolerated_losses) {
@@ -77,7 +77,8 @@
   }
   void run(Millis ms) {
     for (Millis i = 0; i < ms; ++i) {
-      // Between messages and ticks leases can only end: no core comes to lead or to answer then.
+      // Without a message or a tick, leases can only expire: no replica can become the leader or the tail
+      // then.
       if (!net.step() && net.now % 20 != 0) continue;
       int leaders = 0, tails = 0;
       for (auto& host : hosts) {
@@ -87,24 +88,24 @@
           ++leaders;
           auto term = at(host).view().term;
           if (at(host).self() != last_leader) {
-            ASSERT_GT(term, highest_term) << "a new holder without a higher token";
+            ASSERT_GT(term, highest_term) << "a new leader without a higher term";
           }
           last_leader = at(host).self();
           highest_term = term;
         }
         tails += at(host).is_tail() && at(host).holds_lease(net.now);
       }
-      ASSERT_LE(leaders, 1) << "two cores hold the duty";
-      ASSERT_LE(tails, 1) << "two cores answer reads";
+      ASSERT_LE(leaders, 1) << "two replicas act as the leader";
+      ASSERT_LE(tails, 1) << "two replicas answer reads";
     }
   }
-  // One history: the same number never stands for two different rows once it is committed somewhere.
+  // All replicas share one history: a sequence number identifies the same row wherever it is committed.
   void check_history() {
     for (auto& host : hosts) {
       if (!is_running(host) || !at(host).all_committed()) continue;
       for (auto& row : at(host).state().rows_after(0)) {
         auto [it, inserted] = history.emplace(row.sequence, row);
-        ASSERT_EQ(it->second, row) << "number " << row.sequence << " stands for two rows";
+        ASSERT_EQ(it->second, row) << "sequence number " << row.sequence << " identifies two rows";
       }
     }
   }
@@ -128,7 +129,7 @@
   std::vector<std::string> hosts, seeds;
   std::map<std::string, std::unique_ptr<SimulatedReplica>> cores;
   std::map<std::uint64_t, Row> history;
-  std::string last_leader;  // of the duty
+  std::string last_leader;  // the last replica that acted as leader
   std::uint64_t highest_term = 0;
 };
 
--- a/tests/replication/replica_faults_test.cc
+++ b/tests/replication/replica_faults_test.cc
@@ -1,6 +1,6 @@
-// The core on its worst days, on the simulated network: the code of the process, and after each step what
-// must hold. docs/worst-days.md tells the argument; each guard named there has a test here that fails without
-// it.
+// Tests of the replicas under faults on the simulated network: the same code as in the process, with the
+// invariants checked after each step. docs/worst-days.md explains the scenarios; each safeguard named there
+// has a test here that fails without it.
 #include "controller/constants.h"
 #include "replication/encoded_messages.h"
 #include "replication/faulty_cluster.h"
@@ -8,7 +8,7 @@
 namespace pebblespindle::test {
 namespace {
 
-// --- 1. twenty seconds cut off ---
+// --- Partitions (docs/worst-days.md, 1) ---
 
 void run_partitions(std::uint32_t seed, bool long_partition) {
   SCOPED_TRACE(seed);
@@ -16,41 +16,43 @@
   FaultyCluster cluster(seed, five_replicas ? 5 : 3, 3, five_replicas ? 2 : 1);
   cluster.run_checked(five_replicas ? 4000 : 1200);
   cluster.writing = true;
-  auto place = [&](int which) {  // head, tail, a middle, or any
+  auto choose_host = [&](int role) {  // the host of the head, the tail, any member, or any replica
     for (auto& host : cluster.hosts)
       if (cluster.is_running(host) && cluster.at(host).holds_lease(cluster.now())) {
-        auto& message = cluster.at(host).view().members;
-        auto& victim = which == 0   ? message.front()
-                       : which == 1 ? message.back()
-                                    : message[std::size_t(cluster.net.pick(int(message.size())))];
+        auto& members = cluster.at(host).view().members;
+        auto& victim = role == 0   ? members.front()
+                       : role == 1 ? members.back()
+                                   : members[std::size_t(cluster.net.pick(int(members.size())))];
         return replication::host_of(victim.id);
       }
     return cluster.random_host();
   };
-  auto cut = [&](const std::string& victim, int way) {
+  auto cut = [&](const std::string& victim, int kind) {
     for (auto& other : cluster.hosts) {
       if (other == victim) continue;
-      if (way != 1) cluster.net.blocked_links.insert({victim, other});  // 1: it is heard and does not hear
-      if (way != 2) cluster.net.blocked_links.insert({other, victim});  // 2: it hears and is not heard
+      // 1: the others receive the victim's messages, it receives none. 2: the reverse.
+      if (kind != 1) cluster.net.blocked_links.insert({victim, other});
+      if (kind != 2) cluster.net.blocked_links.insert({other, victim});
     }
-    if (way == 3) cluster.net.drop_messages_of(victim);  // reset: what was on its way is lost
-    if (way == 4)                                        // a single link, one way
+    if (kind == 3)
+      cluster.net.drop_messages_of(victim);  // connections are reset: messages under way are lost
+    if (kind == 4)                           // only the link to one other replica, in one direction
       std::erase_if(cluster.net.blocked_links,
                     [&, keep = cluster.hosts[std::size_t(cluster.net.pick(int(cluster.hosts.size())))]](
-                        auto& c) { return c.first != victim || c.second != keep; });
+                        auto& link) { return link.first != victim || link.second != keep; });
   };
   for (int round = 0; round < 2; ++round) {
-    std::string victim = place(cluster.net.pick(3));
+    std::string victim = choose_host(cluster.net.pick(3));
     cut(victim, cluster.net.pick(5));
     for (auto& node : cluster.nodes)
-      if (cluster.net.chance(0.5))
-        node.controller_host = victim, node.heard_at = cluster.now();  // at the wrong side
+      // The node is connected to the isolated replica.
+      if (cluster.net.chance(0.5)) node.controller_host = victim, node.heard_at = cluster.now();
     cluster.run_checked(long_partition ? 20000 + cluster.net.pick(4000) : 1200 + cluster.net.pick(1600));
     if (cluster.net.chance(0.2))
       cluster.restart(cluster.net.chance(0.5) ? victim : cluster.random_host(), cluster.net.pick(300));
     cluster.net.blocked_links.clear();
     if (round == 0 && cluster.net.chance(0.5))
-      cluster.run_checked(cluster.net.pick(800));  // the second as the first one heals
+      cluster.run_checked(cluster.net.pick(800));  // the second partition begins while the first one heals
     else
       cluster.run_checked(1500);
     if (testing::Test::HasFailure()) return;
@@ -65,8 +67,8 @@
   each_seed(500, [](std::uint32_t seed) { run_partitions(seed, seed % 25 == 0); });
 }
 
-// A refusal, like a value, counts only from the core that was asked, and a refusal only for the last try: the
-// update may have been taken after an earlier one.
+// A refusal or a value counts only if it comes from the replica that was asked, and a refusal only for the
+// last attempt: the change may have been taken after an earlier one.
 TEST(ReplicaFaults, ARefusalCountsForTheLastTryOnly) {
   FaultyCluster cluster(3, 3, 3, 1);
   cluster.run_checked(1500);
@@ -80,7 +82,7 @@
   node.read(cluster.now(), "k0", [&](const Result<std::optional<std::string>>& value) {
     value_read = value && *value ? std::stoi(**value) : 0;
   });
-  // The ids of the two, as their messages name them.
+  // The request ids, taken from the messages.
   std::uint64_t id = 0;
   cluster.net.blocked_links.clear();
   cluster.net.deliver = [&](const std::string&, const std::string&, const Json& message) {
@@ -92,18 +94,19 @@
     receive_encoded(node, cluster.now(), from,
                     {{"t", "done"}, {"id", id}, {"s", 412}, {"why", "x"}, {"q", attempt}});
   };
-  refuse(head, 1);  // of the first try, and the second is out
-  refuse(tail, 2);  // of one that was not asked
+  refuse(head, 1);  // refuses the first attempt, while the second is under way
+  refuse(tail, 2);  // from a replica that was not asked
   EXPECT_EQ(status, -1);
   refuse(head, 2);
   EXPECT_EQ(status, 412);
   receive_encoded(node, cluster.now(), head, {{"t", "val"}, {"id", id + 1}, {"v", "9"}});
-  EXPECT_EQ(value_read, -1) << "a value of a core that was not asked";
+  EXPECT_EQ(value_read, -1) << "a value from a replica that was not asked counts";
   receive_encoded(node, cluster.now(), tail, {{"t", "val"}, {"id", id + 1}, {"v", "9"}});
   EXPECT_EQ(value_read, 9);
 }
 
-// An offer that was long on its way, to the head of a former view, is taken by nobody.
+// Guards against a delayed submission that reaches the head of a later view: another head may have refused it
+// since.
 TEST(ReplicaFaults, AnOfferOfAFormerViewIsNotTaken) {
   FaultyCluster cluster(4, 3, 3, 1);
   cluster.run_checked(1500);
@@ -123,7 +126,8 @@
   EXPECT_EQ(head.state().last_sequence(), before + 1);
 }
 
-// The tail's word is an acknowledgement. Without a seat it keeps it to itself, though the change has come.
+// The tail's reply acknowledges a change. A tail without a lease must not send it, although it has stored the
+// change.
 TEST(ReplicaFaults, ATailWithoutASeatAcknowledgesNothing) {
   FaultyCluster cluster(5, 3, 3, 1);
   cluster.run_checked(1500);
@@ -152,7 +156,8 @@
   EXPECT_EQ(acknowledgements, 0);
 }
 
-// A head that has accepted a view without itself acts no more, though another's lease to it runs on.
+// A head that has accepted a view without itself must no longer act as leader, although another voter's lease
+// to it has not expired.
 TEST(ReplicaFaults, WhoHasAcceptedAViewWithoutItselfHasNoSeat) {
   FaultyCluster cluster(14258, 3, 3, 1);
   cluster.run_checked(1500);
@@ -163,7 +168,7 @@
   next.members.erase(next.members.begin());
   next.term = next.number;
   cluster.net.blocked_links.insert(
-      {view.members[1].id, view.head()});  // one other grants, as the head itself does
+      {view.members[1].id, view.head()});  // grants come from one other voter and the head itself
   cluster.run_checked(1000);
   ASSERT_EQ(head.view().number, view.number);
   ASSERT_TRUE(head.is_leader(cluster.now()));
@@ -172,7 +177,7 @@
   EXPECT_FALSE(head.is_leader(cluster.now()));
 }
 
-// Whom a machine may turn to is told by cores that know today's view: also by one that stands by.
+// Nodes are redirected only by replicas that know the present view; a standby may be one of them.
 TEST(ReplicaFaults, OnlyWhoHearsAMajorityTellsWhereToTurn) {
   FaultyCluster cluster(6, 4, 3, 1);
   cluster.run_checked(3000);
@@ -187,8 +192,8 @@
   EXPECT_TRUE(cluster.at("core2").hears_majority(cluster.now()));
 }
 
-// Messages with fields changed, dropped, or of another type, from members and from strangers: nobody ends,
-// and what is committed stays as it is.
+// Messages with fields changed, removed or of another type, from members and from unknown senders: no replica
+// stops, and committed rows stay as they are.
 TEST(ReplicaFaults, MutatedMessagesChangeNothingThatIsCommitted) {
   each_seed(100, [](std::uint32_t seed) {
     SCOPED_TRACE(seed);
@@ -240,7 +245,7 @@
       std::map<std::string, std::string> committed_values;
       for (auto& row : node.state().rows_after(0))
         if (row.sequence <= committed) committed_values[row.key] = row.value;
-      // What is well formed and only says something else than was meant is not told from a true word.
+      // A well-formed message of these types with other content can't be distinguished from a genuine one.
       bool plausible =
           well_formed(message) && (message["t"] == "up" || message["t"] == "sub" || message["t"] == "dec");
       if (plausible) continue;
@@ -251,7 +256,7 @@
         ASSERT_EQ(node.state().find(key)->value, value) << message;
       }
     }
-    cluster.run_checked(3000);  // and they go on
+    cluster.run_checked(3000);  // the cluster must still work afterwards
     cluster.writing = true;
     cluster.answered = 0;
     cluster.run_checked(3000);
@@ -259,9 +264,10 @@
   });
 }
 
-// --- 3. a second loss right after a repair ---
+// --- A second loss right after a repair (docs/worst-days.md, 3) ---
 
-// Ends in order, as the process does: it hands over, steps out, and is gone 50 ms later. How long that took.
+// Shuts a replica down as the process does: it hands over its vote, leaves the view and ends 50 ms later.
+// Returns the time that this took.
 Millis exit_gracefully(FaultyCluster& cluster, const std::string& victim) {
   Millis since = cluster.now();
   cluster.at(victim).begin_leaving(cluster.now());
@@ -281,7 +287,7 @@
   cluster.start(new_host);
 }
 
-// Right after the next thing of that kind: a decided view, a member's whole state, a voter exchanged.
+// Runs until the next event of a kind: 0 a new view, 1 a replica in sync or no longer, 2 a change of voters.
 void run_until_next(FaultyCluster& cluster, int kind) {
   auto observe = [&] {
     Json seen = Json::array();
@@ -324,14 +330,14 @@
       std::erase(cluster.hosts, victim);
     };
     std::string victim = voter();
-    bool second = five_replicas;  // while the first is lost still, at a place of the simulation's choice
+    bool second = five_replicas;  // whether a second replica is lost during the first loss
     switch (cluster.net.pick(7)) {
-      case 0:  // crash; back with its disk
+      case 0:  // crash; returns with its disk
         cluster.stop(victim);
         cluster.run_checked(cluster.net.pick(4000));
         cluster.start(victim);
         break;
-      case 1:  // crash, and the disk is lost
+      case 1:  // crash with loss of the disk
         cluster.stop(victim, true);
         cluster.run_checked(cluster.net.pick(2000));
         cluster.start(victim);
@@ -342,10 +348,10 @@
         cluster.run_checked(cluster.net.pick(4000));
         add_replica(cluster, new_host);
         break;
-      case 3: {  // removed for good, in order
+      case 3: {  // shut down gracefully and never restarted
         exit_gracefully(cluster, victim);
         remove_replica(victim);
-        if (has_standby) {  // it has handed over: the next loss may come at once, with its disk
+        if (has_standby) {  // its vote was handed over, so the next loss, with the disk, may come at once
           std::string next = voter();
           cluster.stop(next, true);
           cluster.run_checked(cluster.net.pick(1500));
@@ -357,12 +363,12 @@
         add_replica(cluster, new_host);
         break;
       }
-      case 4:  // restarted in order
+      case 4:  // graceful restart
         exit_gracefully(cluster, victim);
         cluster.run_checked(cluster.net.pick(2000));
         cluster.start(victim);
         break;
-      case 5: {  // all lose power, and as many as may be lost their disks
+      case 5: {  // all lose power, and as many as are tolerated lose their disks
         for (auto& host : cluster.hosts) cluster.stop(host);
         cluster.deliveries.clear();
         for (std::size_t i = 0; i < tolerated_losses; ++i)
@@ -373,7 +379,7 @@
         cluster.run_checked(catch_up);
         break;
       }
-      case 6:  // cut off
+      case 6:  // partition
         cluster.isolate(victim, cluster.net.chance(0.6));
         cluster.run_checked(1500 + cluster.net.pick(2000));
         cluster.net.blocked_links.clear();
@@ -395,7 +401,7 @@
     for (Millis end = cluster.now() + 3000;
          cluster.now() < end && cluster.answered == before && !testing::Test::HasFailure();)
       cluster.run_checked(20);
-    EXPECT_GT(cluster.answered, before) << "no order is taken any more";
+    EXPECT_GT(cluster.answered, before) << "no change is accepted any more";
   }
 }
 
@@ -414,7 +420,8 @@
   ASSERT_FALSE(head.view().has_voter("core0"));
 }
 
-// A head that has given its vote away, and came back, is the head still: the next view is decided over it.
+// A head that has given up its vote and restarted is still the head: the others must be able to decide a next
+// view with it.
 TEST(ReplicaFaults, AHeadWithoutAVoteDoesNotStopTheNextView) {
   FaultyCluster cluster(273, 4, 3, 1);
   ASSERT_NO_FATAL_FAILURE(let_head_give_up_its_vote(cluster));
@@ -428,11 +435,10 @@
   cluster.run_checked(4000);
   EXPECT_FALSE(cluster.at("core1").view().has_member("core2"));
   EXPECT_TRUE(cluster.at("core1").view().has_voter("core0"))
-      << "nobody takes the vote of the one that is gone";
+      << "no replica has taken the vote of the failed one";
 }
 
-// Who leaves on purpose is a member and votes until one that stands by holds the state and votes in its
-// place.
+// A replica that leaves stays a member and a voter until a standby holds the state and has its vote.
 TEST(ReplicaFaults, WhoLeavesHandsOverFirst) {
   Millis longest = 0;
   for (std::uint32_t seed = 1; seed <= 40 && !testing::Test::HasFailure(); ++seed) {
@@ -447,25 +453,26 @@
     longest = std::max(longest, exit_gracefully(cluster, victim));
     auto& view = cluster.newest_replica().view();
     EXPECT_EQ(view.voters.size(), 3u);
-    EXPECT_FALSE(view.has_voter(victim)) << "it is gone and votes";
-    std::string next = cluster.random_host();  // the next loss comes at once, with its disk
+    EXPECT_FALSE(view.has_voter(victim)) << "the replica has left and still votes";
+    std::string next = cluster.random_host();  // the next loss, with the disk, comes at once
     while (next == victim) next = cluster.random_host();
     cluster.stop(next, true);
-    // Writers draw whom they ask, also cores that are down: what counts is the share of the others' answers.
+    // Writers also choose replicas that are down, so the test compares the answers with the requests that
+    // reached a running replica.
     int answered = cluster.answered, offered = cluster.submitted;
     cluster.run_checked(4000);
     cluster.writing = false;
-    cluster.run_checked(replication::kSubmitTimeoutMs);  // what is under way still has its answer
+    cluster.run_checked(replication::kSubmitTimeoutMs);  // requests under way still get their answer
     EXPECT_GT(cluster.answered, answered);
     EXPECT_GE(2 * (cluster.answered - answered), cluster.submitted - offered);
   }
-  EXPECT_LE(longest, 1500) << "ms from the wish to end until the process is gone";
+  EXPECT_LE(longest, 1500) << "ms from begin_leaving() until the process has ended";
   RecordProperty("longest_ms", std::to_string(longest));
   std::printf("handed over in %d ms at most\n", int(longest));
 }
 
-// It waits until as many know that it votes no more as can take the next loss.
-TEST(ReplicaFaults, WhoLeavesIsNotTheOnlyOneToKnowTheNewVoters) {
+// A leaving replica must wait until a majority of the new voters knows that it has no vote any more.
+TEST(ReplicaFaults, ALeavingReplicaWaitsUntilAMajorityKnowsTheNewVoters) {
   FaultyCluster cluster(13581, 4, 3, 1);
   ASSERT_NO_FATAL_FAILURE(let_head_give_up_its_vote(cluster));
   Replica& head = cluster.at("core0");
@@ -474,8 +481,8 @@
   EXPECT_TRUE(head.may_exit(cluster.now()));
 }
 
-// The second member dies, with its disk, just as a view is decided: those behind it have no state, and are
-// not to blame for that.
+// The second member crashes and loses its disk right after a view is decided: the members behind it cannot
+// obtain the state and must not be removed for that.
 TEST(ReplicaFaults, ALossRightAfterADecidedViewDoesNotStopTheCore) {
   for (std::uint32_t seed = 1; seed <= 20 && !testing::Test::HasFailure(); ++seed) {
     SCOPED_TRACE(seed);
--- a/tests/replication/replica_test.cc
+++ b/tests/replication/replica_test.cc
@@ -1,5 +1,5 @@
-// The chain and its view under crashes, cuts, lost disks, full disks, replaced and returning cores: one
-// history, and nothing that was acknowledged is lost.
+// Tests of the replica under crashes, partitions, lost disks, full disks, and replaced and returning
+// replicas: all replicas share one history, and no acknowledged change is lost.
 #include <gtest/gtest.h>
 
 #include "replication/encoded_messages.h"
@@ -9,12 +9,12 @@
 namespace pebblespindle::test {
 namespace {
 
-struct Counter {                                  // what clients of the chain have seen acknowledged
-  int acknowledged = 0, attempts = 0, known = 0;  // known: what the next change builds on
+struct Counter {                                  // the values of one key as its clients know them
+  int acknowledged = 0, attempts = 0, known = 0;  // known: the value that the next change expects
 };
 
-// Each key is a counter raised by compare-and-set: an acknowledged value may be followed only by a higher
-// one. Troubles come one after the other, each followed by the time to catch up.
+// Each key is a counter that is raised by compare-and-set: an acknowledged value may be followed only by a
+// higher one. At most tolerated_losses replicas are faulty at a time; repair_all() ends their faults.
 void run_faults(std::uint32_t seed, int replica_count, std::size_t tolerated_losses, int fault_kinds) {
   ReplicaCluster cluster(seed, replica_count, 3, tolerated_losses);
   cluster.run(4000);
@@ -39,7 +39,7 @@
       case 1:
         if (!down.empty()) repair_all();
         break;
-      case 2:  // crash or an end in order, perhaps straight back
+      case 2:  // crash or graceful stop, perhaps followed by a restart
         if (!may_fail || !cluster.is_running(victim)) break;
         if (cluster.net.chance(0.3)) {
           cluster.at(victim).stop(cluster.net.now);
@@ -60,7 +60,7 @@
       case 4:
         cluster.net.loss_rate = cluster.net.chance(0.3) ? 0.05 : 0;
         break;
-      case 5:  // all processes at once; the disks stay
+      case 5:  // all processes crash at once; the disks stay
         for (auto& host : cluster.hosts) cluster.stop(host);
         cluster.run(cluster.net.pick(900));
         for (auto& host : cluster.hosts) cluster.start(host);
@@ -70,7 +70,7 @@
         cluster.cores[victim]->disk.full = true;
         down.push_back(victim);
         break;
-      case 7: {  // power is lost everywhere, and some disks with it
+      case 7: {  // all lose power, and as many as are tolerated lose their disks
         repair_all();
         for (auto& host : cluster.hosts) cluster.stop(host);
         for (std::size_t i = 0; i < tolerated_losses; ++i) cluster.cores[pick()]->disk = MemoryStorage();
@@ -79,13 +79,13 @@
         cluster.run(6000);
         break;
       }
-      case 8: {  // replaced by an empty one at another address
+      case 8: {  // replaced by a replica with an empty disk at another address
         if (!down.empty() || !cluster.is_running(victim)) break;
         cluster.stop(victim);
         cluster.cores.erase(victim);
         std::string new_host = "core" + std::to_string(100 + round);
         std::replace(cluster.hosts.begin(), cluster.hosts.end(), victim, new_host);
-        cluster.seeds = cluster.hosts;  // a list as the operator has it by now
+        cluster.seeds = cluster.hosts;  // the operator has updated the list of seeds
         cluster.run(cluster.net.pick(2000));
         cluster.start(new_host);
         cluster.run(6000);
@@ -107,15 +107,15 @@
               counter.acknowledged = std::max(counter.acknowledged, to),
               counter.known = std::max(counter.known, to);
           });
-      // A read answered by the tail shows at least what was acknowledged before it was asked.
+      // A read must return at least what was acknowledged before it was sent.
       int floor = counter.acknowledged;
       cluster.at(host).read(
           cluster.net.now, key, [&counter, floor, key](const Result<std::optional<std::string>>& value) {
             if (!value) return;
             EXPECT_GE(*value ? std::stoi(**value) : 0, floor) << "a stale read of " << key;
             if (*value)
-              counter.known =
-                  std::max(counter.known, std::stoi(**value));  // one that got no answer may have been taken
+              counter.known = std::max(
+                  counter.known, std::stoi(**value));  // a change without an answer may have been committed
           });
       cluster.run(cluster.net.pick(300));
     }
@@ -127,12 +127,12 @@
   for (auto& [key, counter] : counters) {
     auto value = cluster.read(cluster.hosts[0], key);
     if (counter.acknowledged > 0) {
-      ASSERT_TRUE(value) << "the healed chain gives no answer for " << key;
+      ASSERT_TRUE(value) << "the repaired chain gives no answer for " << key;
       EXPECT_GE(std::stoi(*value), counter.acknowledged) << key << " lost an acknowledged update";
     }
   }
   for (auto& host : cluster.hosts) {
-    EXPECT_TRUE(cluster.at(host).holds_lease(cluster.net.now)) << host << " did not come back";
+    EXPECT_TRUE(cluster.at(host).holds_lease(cluster.net.now)) << host << " did not become a member again";
     EXPECT_EQ(cluster.at(host).view().voters.size(), 2 * tolerated_losses + 1);
     EXPECT_TRUE(cluster.at(host).view().has_voter(cluster.at(host).self())) << host << " does not vote";
   }
@@ -192,19 +192,19 @@
   }
 }
 
-TEST(Replica, ACutOffTailIsSilentBeforeItIsPutOut) {
+TEST(Replica, AnIsolatedTailStopsActingBeforeItIsRemoved) {
   ReplicaCluster cluster(7);
   cluster.run(1500);
   std::string tail = cluster.at("core0").view().tail();
   cluster.isolate(tail, true);
-  cluster.run(4000);  // at every moment at most one core answers as the tail: checked in run()
+  cluster.run(4000);  // run() checks that at most one replica acts as the tail
   EXPECT_NE(cluster.at("core0").view().tail(), tail);
 }
 
-TEST(Replica, AMemberThatDoesNotHearIsPutOut) {
+TEST(Replica, AMemberThatReceivesNothingIsRemoved) {
   ReplicaCluster cluster(8);
   cluster.run(1500);
-  cluster.isolate("core1", false);  // it is heard all the while
+  cluster.isolate("core1", false);  // the others still receive its messages
   cluster.run(4000);
   EXPECT_FALSE(cluster.at("core0").view().has_member("core1"));
   EXPECT_EQ(cluster.submit("core0", "k", "", "v"), 200);
@@ -220,7 +220,7 @@
   EXPECT_NE(cluster.at("core0").self(), "core0");
   cluster.run(5000);
   auto& value = cluster.at("core1").view();
-  EXPECT_FALSE(value.has_voter("core0")) << "the identity whose promises are forgotten still votes";
+  EXPECT_FALSE(value.has_voter("core0")) << "the identity whose promises are lost still votes";
   EXPECT_TRUE(value.has_voter(cluster.at("core0").self()));
   EXPECT_EQ(cluster.read("core0", "k"), "v");
 }
@@ -239,18 +239,18 @@
   cluster.run(4000);
   EXPECT_FALSE(cluster.at("core0").view().has_voter("core0"));
   EXPECT_FALSE(cluster.at("core0").is_leader(cluster.net.now));
-  // The others can lose one more by now, and it still takes no seat by itself.
+  // The others now tolerate one more loss, and the replaced replica still does not become a member by itself.
   cluster.stop("core1");
   cluster.run(4000);
   EXPECT_EQ(cluster.submit("core2", "k", "v", "w"), 200);
-  EXPECT_EQ(cluster.read("core0", "k"), "w") << "a core outside the view passes calls on";
+  EXPECT_EQ(cluster.read("core0", "k"), "w") << "a replica outside the view must pass requests on";
 }
 
 TEST(Replica, ACoreThatEndsInOrderIsNotWaitedFor) {
   ReplicaCluster cluster(12);
   cluster.run(1500);
   cluster.at("core0").stop(cluster.net.now);
-  cluster.run(450);  // less than the silence of a core that is suspected
+  cluster.run(450);  // less than kPeerTimeoutMs
   EXPECT_FALSE(cluster.at("core1").view().has_member("core0"));
   EXPECT_TRUE(cluster.at("core1").is_leader(cluster.net.now));
 }
@@ -259,7 +259,7 @@
   ReplicaCluster cluster(11);
   cluster.run(1500);
   cluster.cores["core2"]->disk.full = true;
-  EXPECT_EQ(cluster.submit("core0", "k", "", "v"), 200) << "the others go on at once";
+  EXPECT_EQ(cluster.submit("core0", "k", "", "v"), 200) << "the other replicas must go on at once";
   cluster.run(3000);
   EXPECT_TRUE(cluster.at("core2").disk_failed());
   EXPECT_FALSE(cluster.at("core0").view().has_member("core2"));
@@ -270,8 +270,8 @@
   EXPECT_EQ(cluster.at("core2").state().find("l")->value, "v");
 }
 
-// What a write that the disk refused would have stored is known to nobody once the disk is well again.
-TEST(Replica, AfterARefusedWriteTheDiskCountsAndNotTheMemory) {
+// Guards against changes that live on in memory after the disk has refused to store them.
+TEST(Replica, AfterARefusedWriteTheStateIsReadFromDisk) {
   ReplicaCluster cluster(4, 1, 1, 0);
   cluster.run(3000);
   auto& core = cluster.hosts[0];
@@ -283,8 +283,8 @@
   EXPECT_EQ(cluster.read(core, "k"), "kept");
 }
 
-// A grant for a former view that comes late gives no place in the present one.
-TEST(Replica, ALeaseOfAFormerViewSeatsNobody) {
+// A delayed grant of a former view gives no lease in the present one.
+TEST(Replica, AGrantOfAFormerViewGivesNoLease) {
   ReplicaCluster cluster(6);
   cluster.run(4000);
   std::string victim = cluster.hosts[0];
--- a/tests/replication/simulated_network.h
+++ b/tests/replication/simulated_network.h
@@ -1,4 +1,5 @@
-// A simulated network of named nodes: messages are delayed, lost across cuts, and kept in order per link.
+// A simulated network of named nodes. Messages are delayed and may be lost, also across blocked links; each
+// link keeps their order.
 #pragma once
 #include <functional>
 #include <map>
@@ -16,7 +17,7 @@
   explicit SimulatedNetwork(std::uint32_t seed) : rng(seed) {}
   Millis now = 1000;
   std::mt19937 rng;
-  std::set<std::pair<std::string, std::string>> blocked_links;  // one way
+  std::set<std::pair<std::string, std::string>> blocked_links;  // (from, to), one direction each
   double loss_rate = 0;
   std::function<void(const std::string& to, const std::string& from, const Json&)> deliver;
 
@@ -29,7 +30,7 @@
     last_[{from, to}] = at;
     queue_.emplace(at, Message{from, to, message});
   }
-  // Lets one millisecond pass; true when a message arrived.
+  // Advances the time by one millisecond and delivers what is due. Returns whether a message arrived.
   bool step() {
     ++now;
     bool arrived = false;
@@ -42,7 +43,7 @@
     }
     return arrived;
   }
-  // A process ends: what was on its way to and from it is gone.
+  // Drops all messages under way from and to a node, as when its process ends.
   void drop_messages_of(const std::string& node) {
     std::erase_if(queue_, [&](auto& entry) { return entry.second.from == node || entry.second.to == node; });
   }
--- a/tests/replication/state_transfer_test.cc
+++ b/tests/replication/state_transfer_test.cc
@@ -1,5 +1,5 @@
-// Catching up: a member is sent what it lacks, a newcomer a whole state in pieces, and half a state is never
-// used.
+// Tests of state transfer: a member is sent only what it lacks, a new replica receives the whole state in
+// chunks, and a partial state is never used.
 #include "net/constants.h"
 #include "replication/encoded_messages.h"
 #include "replication/replica_cluster.h"
@@ -9,7 +9,7 @@
 namespace pebblespindle::test {
 namespace {
 
-// A fleet that counts what is sent to each core of the state.
+// A cluster that counts the bytes and messages of state that each replica is sent.
 struct CountingCluster : ReplicaCluster {
   using ReplicaCluster::ReplicaCluster;
   std::map<std::string, std::size_t> bytes, messages;
@@ -47,12 +47,12 @@
 
 std::vector<Row> by_key(const StateTable& table) {
   auto rows = table.rows_after(0);
-  std::sort(rows.begin(), rows.end(), [](const Row& answer, const Row& b) { return answer.key < b.key; });
+  std::sort(rows.begin(), rows.end(), [](const Row& left, const Row& right) { return left.key < right.key; });
   return rows;
 }
 
 TEST(StateTransfer, ARestartedMemberIsSentWhatItLacks) {
-  for (Millis away : {200, 3000}) {  // still a member, and put out meanwhile
+  for (Millis away : {200, 3000}) {  // the replica is still a member, or has been removed meanwhile
     CountingCluster cluster(31);
     cluster.count();
     cluster.run(3000);
@@ -80,14 +80,14 @@
   CountingCluster cluster(32);
   cluster.count();
   cluster.run(3000);
-  ASSERT_NO_FATAL_FAILURE(cluster.fill(900, 10000));  // 9 MB; a link takes 8 MiB a message
+  ASSERT_NO_FATAL_FAILURE(cluster.fill(900, 10000));  // 9 MB in all; a link accepts 8 MiB in one message
   const std::uint64_t view = cluster.at("core0").view().number;
   cluster.stop("core2", true);
   cluster.run(100);
   cluster.bytes.clear();
   cluster.start("core2");
   int changes = 0, asked = 0;
-  for (int i = 0; i < 60; ++i) {  // live changes beside it
+  for (int i = 0; i < 60; ++i) {  // changes submitted during the transfer
     ++asked;
     cluster.at("core0").submit(cluster.net.now,
                                {{"key", "live" + std::to_string(i)}, {"expect", ""}, {"value", "v"}},
@@ -98,14 +98,15 @@
   EXPECT_TRUE(cluster.is_synced_member("core2"));
   EXPECT_EQ(by_key(cluster.at("core2").state()), by_key(cluster.at("core0").state()));
   EXPECT_LT(cluster.longest_message, kMaxLinkBytes / 4);
-  EXPECT_LT(cluster.bytes["core2"], 900 * 10000 * 6 / 5) << "sent again";
-  EXPECT_GT(changes, asked / 2) << "the chain stood still";
-  // The lost one is put out, it joins, it votes: no more views than that.
+  EXPECT_LT(cluster.bytes["core2"], 900 * 10000 * 6 / 5) << "rows were sent more than once";
+  EXPECT_GT(changes, asked / 2) << "the chain made no progress during the transfer";
+  // Three view changes suffice: the lost replica is removed, the new one joins, and it becomes a voter.
   EXPECT_LE(cluster.at("core0").view().number, view + 3);
 }
 
-// Seen to take part only when the state is whole; what is there after a break is not sent again.
-TEST(StateTransfer, AHalfTakenStateIsNeverUsedAndGoesOnAfterABreak) {
+// A replica participates only once its state is complete, and rows that it stored before an interruption are
+// not sent again.
+TEST(StateTransfer, APartialStateIsNeverUsedAndTheTransferResumes) {
   CountingCluster cluster(33, 4, 3, 1);
   cluster.chunk_bytes = 2000;
   for (auto& host : cluster.hosts) cluster.stop(host, true);
@@ -123,23 +124,24 @@
   const std::size_t before = cluster.at("core3").received_row_count();
   ASSERT_GT(before, 100u);
   ASSERT_LT(before, 700u);
-  EXPECT_EQ(cluster.at("core3").state().size(), 0u) << "half a state is in use";
-  // The core dies, and so does the one it took the state from: another one goes on.
+  EXPECT_EQ(cluster.at("core3").state().size(), 0u) << "a partial state is in use";
+  // The receiver crashes, and so does its source: another source continues the transfer.
   cluster.stop("core3");
   cluster.stop(cluster.at("core0").view().tail());
   cluster.run(300);
   cluster.start("core3");
-  EXPECT_EQ(cluster.at("core3").received_row_count(), before) << "what was taken is on the disk";
+  EXPECT_EQ(cluster.at("core3").received_row_count(), before) << "the received rows must be on the disk";
   EXPECT_EQ(cluster.at("core3").state().size(), 0u);
   cluster.bytes.clear();
   cluster.run(6000);
   EXPECT_TRUE(cluster.is_synced_member("core3"));
   EXPECT_EQ(by_key(cluster.at("core3").state()), by_key(cluster.at("core0").state()));
-  EXPECT_LT(cluster.bytes["core3"], (800 - before) * 400 * 6 / 5) << "what was there was sent again";
+  EXPECT_LT(cluster.bytes["core3"], (800 - before) * 400 * 6 / 5)
+      << "rows that were stored before are sent again";
 }
 
-// A head numbers a change that nobody gets and dies; the others give the number again. It comes back with the
-// same number and another row.
+// The head assigns sequence numbers to changes that no other replica receives, and crashes; the others assign
+// the same numbers again. When it returns, it holds other rows under these numbers.
 TEST(StateTransfer, NumbersOfALostSuffixAreToldApart) {
   for (bool as_head : {false, true}) {
     CountingCluster cluster(34);
@@ -164,7 +166,7 @@
     cluster.start("core0");
     cluster.run(4000);
     ASSERT_TRUE(cluster.is_synced_member("core0"));
-    if (as_head) {  // and it may lead with that state
+    if (as_head) {  // it may become the head with that state
       cluster.stop("core1");
       cluster.run(3000);
     }
@@ -174,7 +176,7 @@
   }
 }
 
-TEST(StateTransfer, WhoIsBehindTheTrimTakesTheStateWhole) {
+TEST(StateTransfer, AReplicaBehindTheCompactionTakesTheWholeState) {
   CountingCluster cluster(35);
   cluster.count();
   cluster.run(3000);
@@ -186,9 +188,11 @@
   ASSERT_EQ(cluster.submit("core0", "b", "1", ""), 200);
   for (auto* host : {"core0", "core1"}) {
     cluster.at(host).compact(cluster.net.now, 1000);
-    EXPECT_TRUE(cluster.at(host).state().find_including_deleted("b")) << "gone a moment ago";
+    EXPECT_TRUE(cluster.at(host).state().find_including_deleted("b"))
+        << "the tombstone is too young to be removed";
     cluster.at(host).compact(cluster.net.now + replication::kCompactAfterMs, 1);
-    EXPECT_TRUE(cluster.at(host).state().find_including_deleted("b")) << "a node has not heard of it";
+    EXPECT_TRUE(cluster.at(host).state().find_including_deleted("b"))
+        << "a node has not acknowledged the deletion";
     cluster.at(host).compact(cluster.net.now + 2 * replication::kCompactAfterMs, 1000);
     EXPECT_FALSE(cluster.at(host).state().find_including_deleted("b"));
     EXPECT_FALSE(cluster.cores[host]->disk.stored_rows.count("b"));
@@ -196,14 +200,14 @@
   cluster.start("core2");
   cluster.run(4000);
   EXPECT_TRUE(cluster.is_synced_member("core2"));
-  EXPECT_FALSE(cluster.at("core2").state().find_including_deleted("b")) << "what is gone lives on";
+  EXPECT_FALSE(cluster.at("core2").state().find_including_deleted("b")) << "a deleted row is still there";
   cluster.stop("core1");
   cluster.start("core1");
-  EXPECT_GT(cluster.at("core1").state().compacted_to(), 0u) << "it is on the disk";
+  EXPECT_GT(cluster.at("core1").state().compacted_to(), 0u) << "the compaction point is not on the disk";
 }
 
-// A disk put back to an older copy: the next member has been sent more.
-TEST(StateTransfer, ADiskThatHasGoneBackDoesNotLead) {
+// The head's disk is restored to an older copy: its successor holds more rows than it does.
+TEST(StateTransfer, AHeadWithAnOlderCopyOfItsDiskDoesNotLead) {
   ReplicaCluster cluster(36);
   cluster.run(3000);
   ASSERT_EQ(cluster.submit("core0", "a", "", "1"), 200);
@@ -218,7 +222,7 @@
   EXPECT_EQ(cluster.at("core0").state().find("a")->value, "3");
 }
 
-// A newcomer whose questions are answered by the test alone.
+// A new replica whose state requests are answered by the test alone.
 struct ScriptedTransfer : ReplicaCluster {
   Json last_request;
   explicit ScriptedTransfer(std::uint32_t seed) : ReplicaCluster(seed) {
@@ -235,8 +239,8 @@
     run(300);
   }
   Replica& newcomer() { return at("core2"); }
-  // A piece as the last question wants it; `left` is false for the one that makes the state whole, of `size`
-  // rows.
+  // Sends a chunk in reply to the last request. more_follow: false for the last chunk, which gives the number
+  // of rows as `size`.
   void send_chunk(bool is_first, const std::string& key, bool more_follow, std::size_t size = 0) {
     Json message{
         {"t", "pc"},
@@ -247,7 +251,8 @@
     if (is_first) message["new"] = true;
     if (!more_follow)
       message["e"] = Json::array({Json::array({1, 1})}), message["trimmed"] = 0, message["size"] = size;
-    receive_encoded(newcomer(), net.now, "core1", Json::parse(message.dump()));  // as it comes over a link
+    receive_encoded(newcomer(), net.now, "core1",
+                    Json::parse(message.dump()));  // parsed from text, as it comes over a link
     run(20);
   }
 };
@@ -262,7 +267,7 @@
   EXPECT_EQ(cluster.newcomer().state().size(), 2u);
   EXPECT_EQ(cluster.newcomer().state().find("of another"), nullptr);
   EXPECT_EQ(cluster.cores["core2"]->disk.stored_rows.count("of another"), 0u)
-      << "it comes back with a restart";
+      << "the row would come back after a restart";
   EXPECT_EQ(cluster.cores["core2"]->disk.stored_rows.size(), 2u);
 }
 
@@ -276,8 +281,8 @@
   EXPECT_TRUE(cluster.cores["core2"]->disk.stored_staged_rows.empty());
 }
 
-// What a core asks is answered from where it stands only if that place is in the history of who answers.
-TEST(StateTransfer, AStageOfAnotherHistoryIsBegunAnew) {
+// A transfer continues at its position only if that position is part of the source's history.
+TEST(StateTransfer, ATransferOfAnotherHistoryIsBegunAnew) {
   ScriptedTransfer cluster(40);
   cluster.chunk_bytes = 10;
   for (auto* host : {"core0", "core1"}) cluster.stop(host), cluster.start(host);
@@ -303,12 +308,13 @@
   };
   std::uint64_t term = tail.view().term;
   EXPECT_FALSE(ask(term)) << answer.dump();
-  EXPECT_EQ(answer["r"][0][0], "k2") << "it goes on where it stood";
+  EXPECT_EQ(answer["r"][0][0], "k2") << "the transfer must continue at its position";
   EXPECT_TRUE(ask(term + 7)) << answer.dump();
   EXPECT_EQ(answer["r"][0][0], "k0");
 }
 
-// An update says on what it follows. One that follows on another term's number is not taken.
+// An Append names the sequence number and term that its rows follow; one that names another term is not
+// stored.
 TEST(StateTransfer, AnUpdateOnAnotherTermsNumberIsNotTaken) {
   ReplicaCluster cluster(41);
   cluster.run(3000);
@@ -330,22 +336,22 @@
   EXPECT_EQ(append_with_term(view.term), last_sequence + 1);
 }
 
-// Hundreds of changes, and in between cores killed, emptied, cut off and all killed at once, never more at a
-// time than may be lost. Pieces are so small that every state goes in many; gone rows are trimmed at once, so
-// that whoever was away is behind the trim. Nothing acknowledged is lost or comes back, and in the end all
-// hold the same.
+// Hundreds of changes, while replicas crash, lose their disks, are cut off or all restart at once, never more
+// at a time than are tolerated. Chunks are so small that each state takes many, and tombstones are compacted
+// at once, so that whoever was away is behind the compaction. No acknowledged change may be lost or undone,
+// and in the end all replicas must hold the same rows.
 void run_mixed_faults(std::uint32_t seed) {
   ReplicaCluster cluster(seed, 4, 3, 1);
   cluster.chunk_bytes = 20 + std::size_t(cluster.net.pick(300));
   cluster.run(1400);
   struct Key {
     std::string acknowledged, last;
-    bool known = true;  // what stands there is what was acknowledged
+    bool known = true;  // the acknowledged value is the present one
   };
   std::map<std::string, Key> keys;
   int serial = 0;
   std::vector<std::string> down;
-  Millis lost_until = 0;  // a loss counts until the time to catch up has passed
+  Millis lost_until = 0;  // a loss counts until the replica has had time to catch up
   auto change = [&] {
     std::string key = "k" + std::to_string(cluster.net.pick(25));
     Key& last_sequence = keys[key];
@@ -372,7 +378,7 @@
     }
     auto& victim = cluster.hosts[std::size_t(cluster.net.pick(4))];
     switch (cluster.net.now >= lost_until ? cluster.net.pick(4) : 4) {
-      case 0:  // killed, perhaps with its disk, for a moment or longer
+      case 0:  // crash, perhaps with loss of the disk, for a shorter or longer time
         cluster.stop(victim, cluster.net.chance(0.5));
         down.push_back(victim);
         lost_until = cluster.net.now + cluster.net.pick(2500);
@@ -382,7 +388,7 @@
         down.push_back(victim);
         lost_until = cluster.net.now + cluster.net.pick(2500);
         break;
-      case 2:  // all processes at once; the disks stay
+      case 2:  // all processes crash at once; the disks stay
         for (auto& host : cluster.hosts) cluster.stop(host);
         cluster.run(cluster.net.pick(400));
         for (auto& host : cluster.hosts) cluster.start(host);
@@ -394,7 +400,7 @@
     for (int i = 0; i < 10; ++i) {
       change();
       ASSERT_NO_FATAL_FAILURE(cluster.run(cluster.net.pick(100)));
-      // What is gone is forgotten at once, by each core for itself.
+      // Each replica compacts tombstones by itself, without the usual delay.
       for (auto& host : cluster.hosts)
         if (cluster.is_running(host) && cluster.net.chance(0.1)) {
           cluster.at(host).compact(cluster.net.now, ~0ull);
@@ -420,7 +426,7 @@
     if (!expected) expected = live(host);
     EXPECT_EQ(live(host), *expected) << host;
   }
-  EXPECT_GE(in_sync_count, 3u) << "not in step after the trouble has ended";
+  EXPECT_GE(in_sync_count, 3u) << "not in sync after the faults have ended";
   EXPECT_EQ(cluster.at(cluster.hosts[0]).view().voters.size(), 3u);
   ASSERT_TRUE(expected);
   for (auto& [key, last_sequence] : keys) {
