--- a/src/pooler/engine.cc
+++ b/src/pooler/engine.cc
@@ -319,10 +319,10 @@
   StatementState statement;
   statement.read = st.verb == Verb::kFetch;
   if (st.verb == Verb::kExecute) {
-    auto p = session.prepared.find(std::string(st.name));
-    if (p == session.prepared.end()) return fail_statement(session, "NOTFOUND", st.name);
-    statement.read = p->second.read;
-    statement.prepared_shape = p->second.shape;
+    auto prepared = session.prepared.find(std::string(st.name));
+    if (prepared == session.prepared.end()) return fail_statement(session, "NOTFOUND", st.name);
+    statement.read = prepared->second.read;
+    statement.prepared_shape = prepared->second.shape;
     statement.execute_arguments = std::string(st.rest);
   }
   if (session.state == 'I') {
--- a/src/pooler/engine_health.cc
+++ b/src/pooler/engine_health.cc
@@ -76,12 +76,13 @@
 }
 
 Json Engine::take_observed_positions() {
-  auto met = std::exchange(observed_positions_, {});
-  if (met.empty() || controller_incarnation_ == 0) return {};
-  Json p = Json::array();
-  for (auto& [service, s] : met)
-    p.push_back(Json::array({service, s.position.text(), s.requested_at + controller_clock_offset_}));
-  return {{"life", controller_incarnation_}, {"p", p}};
+  auto observed = std::exchange(observed_positions_, {});
+  if (observed.empty() || controller_incarnation_ == 0) return {};
+  Json positions = Json::array();
+  for (auto& [service, entry] : observed)
+    positions.push_back(
+        Json::array({service, entry.position.text(), entry.requested_at + controller_clock_offset_}));
+  return {{"life", controller_incarnation_}, {"p", positions}};
 }
 
 Json Engine::take_health_report() {
--- a/src/pooler/engine_routing.cc
+++ b/src/pooler/engine_routing.cc
@@ -109,7 +109,7 @@
   if (had || !has_lease()) return;
   std::vector<std::string> services;
   for (auto& [service, q] : waiting_for_primary_) services.push_back(service);
-  for (auto& s : services) resume_waiting_for_primary(s);
+  for (auto& service_name : services) resume_waiting_for_primary(service_name);
 }
 
 // --- choosing ----------------------------------------------------------------------
@@ -140,10 +140,10 @@
 // behind.
 bool Engine::may_send_update(Session& session, const InstanceId& primary) {
   if (session.vector_service != session.route->service) return true;
-  auto& v = pools_[primary].vector;
-  if (v.empty() || session.vector <= v) return true;
-  if (session.vector.newest().term > v.newest().term) return false;
-  v.raise(session.vector.newest());
+  auto& primary_vector = pools_[primary].vector;
+  if (primary_vector.empty() || session.vector <= primary_vector) return true;
+  if (session.vector.newest().term > primary_vector.newest().term) return false;
+  primary_vector.raise(session.vector.newest());
   return true;
 }
 
@@ -152,16 +152,18 @@
 bool Engine::may_confirm_commits(const std::string& service, const InstanceId& id) const {
   const PrimaryAssignment* lead = cluster_.primary_of(service);
   if (!lead || lead->primary != id) return false;
-  auto s = suspended_since_.find(service);
-  return !lead->suspended || (s != suspended_since_.end() && s->second >= 0);
+  auto suspended = suspended_since_.find(service);
+  return !lead->suspended || (suspended != suspended_since_.end() && suspended->second >= 0);
 }
 
 // The recent mean latency of this database for the route, in ms; 0 when it is not known.
 double Engine::recent_latency(const InstanceId& id, const std::string& route) const {
   auto pool = pools_.find(id);
   if (pool == pools_.end()) return 0;
-  auto lead = pool->second.latency.find(route);
-  return lead == pool->second.latency.end() || now_ - lead->second.at > kLatencyTtlMs ? 0 : lead->second.mean;
+  auto latency = pool->second.latency.find(route);
+  return latency == pool->second.latency.end() || now_ - latency->second.at > kLatencyTtlMs
+             ? 0
+             : latency->second.mean;
 }
 
 void Engine::check_primary_latency() {
@@ -197,23 +199,25 @@
       // A session starts with the vector of the replica in this node's zone, or with an empty one.
       session.vector = LVector();
       session.vector_service = route.service;
-      for (auto* i : cluster_.instances_of(route.service))
-        if (i->zone == zone_ && pools_.count(i->id)) session.vector = pools_[i->id].vector;
+      for (auto* candidate : cluster_.instances_of(route.service))
+        if (candidate->zone == zone_ && pools_.count(candidate->id))
+          session.vector = pools_[candidate->id].vector;
     }
     required_position = std::max(required_position, session.vector.newest());
   }
   const PrimaryAssignment* lead = cluster_.primary_of(route.service);
-  double quickest = 0;
-  for (auto* i : cluster_.instances_of(route.service)) {
-    double ms = usable(*i) ? recent_latency(i->id, route.name) : 0;
-    if (ms > 0 && (quickest == 0 || ms < quickest)) quickest = ms;
+  double fastest = 0;
+  for (auto* candidate : cluster_.instances_of(route.service)) {
+    double ms = usable(*candidate) ? recent_latency(candidate->id, route.name) : 0;
+    if (ms > 0 && (fastest == 0 || ms < fastest)) fastest = ms;
   }
   const Instance* best = nullptr;
   long best_cost = 0;
+  // The candidate with the lowest cost gets the statement.
   for (auto* instance : cluster_.instances_of(route.service)) {
-    const Instance& i = *instance;
-    const InstanceId& id = i.id;
-    if (!usable(i)) continue;
+    const Instance& candidate = *instance;
+    const InstanceId& id = candidate.id;
+    if (!usable(candidate)) continue;
     if (std::find(session.statement.tried.begin(), session.statement.tried.end(), id) !=
         session.statement.tried.end())
       continue;
@@ -221,13 +225,13 @@
     if (leads && primary.kind != RoutingDecision::Kind::kSend) continue;
     auto& pool = pools_[id];
     bool behind = !leads && now_ < pool.lagging_until && pool.vector.newest() < required_position;
-    long cost = (i.zone == zone_ ? 0 : 20) + (leads ? 5 : 0) + (i.draining ? 40 : 0) + (behind ? 60 : 0) +
-                long(std::min<std::size_t>(pool.waiting.size(), 20)) * 4;
+    long cost = (candidate.zone == zone_ ? 0 : 20) + (leads ? 5 : 0) + (candidate.draining ? 40 : 0) +
+                (behind ? 60 : 0) + long(std::min<std::size_t>(pool.waiting.size(), 20)) * 4;
     double ms = recent_latency(id, route.name);
     if (now_ < pool.avoid_until) cost += 50;  // ejected, but used if no other is left
-    if (ms > quickest * kLatencyAvoidFactor && ms > quickest + kLatencyAvoidMs) cost += 30;
+    if (ms > fastest * kLatencyAvoidFactor && ms > fastest + kLatencyAvoidMs) cost += 30;
     if (behind && primary.kind == RoutingDecision::Kind::kSend && !leads) continue;
-    if (!best || cost < best_cost) best = &i, best_cost = cost;
+    if (!best || cost < best_cost) best = &candidate, best_cost = cost;
   }
   if (!best) return primary;
   RoutingDecision decision;
@@ -242,19 +246,20 @@
   Session* session = find_session(id);
   if (!session || !session->statement.active) return;
   if (session->conn) {
-    if (Connection* c = find_connection(session->conn)) return dispatch(*session, *c);
+    if (Connection* connection = find_connection(session->conn)) return dispatch(*session, *connection);
     session->conn = 0;
   }
-  RoutingDecision c = choose_database(*session);
-  if (c.kind == RoutingDecision::Kind::kSend) {
-    session->statement.required_position = c.required_position;
-    session->statement.as_primary = c.as_primary;
-    return acquire_connection(*session, c.instance);
+  RoutingDecision decision = choose_database(*session);
+  if (decision.kind == RoutingDecision::Kind::kSend) {
+    session->statement.required_position = decision.required_position;
+    session->statement.as_primary = decision.as_primary;
+    return acquire_connection(*session, decision.instance);
   }
-  if (c.kind == RoutingDecision::Kind::kAwaitPrimary) return await_primary(*session, session->route->service);
-  if (c.kind == RoutingDecision::Kind::kAwaitPosition)
+  if (decision.kind == RoutingDecision::Kind::kAwaitPrimary)
+    return await_primary(*session, session->route->service);
+  if (decision.kind == RoutingDecision::Kind::kAwaitPosition)
     return await_position(*session, session->route->service);
-  refuse_statement(*session, c.code, c.text);
+  refuse_statement(*session, decision.code, decision.text);
 }
 
 Millis Engine::wait_limit(const Session& session) const {
@@ -357,13 +362,15 @@
     rest_closed_without_lease_ = true;  // once per loss of the lease
     close_resting_sessions();
   }
-  for (auto& [id, p] : pools_) {
-    if (p.idle.empty()) continue;
-    Millis kept = idle_timeout(id, p);
+  for (auto& [id, pool] : pools_) {
+    if (pool.idle.empty()) continue;
+    Millis kept = idle_timeout(id, pool);
     std::vector<ConnectionId> old;
-    for (auto c : p.idle)
-      if (Connection* x = find_connection(c); x && now_ - x->idle_since >= kept) old.push_back(c);
-    for (auto c : old) discard_connection(c, true);
+    for (auto connection_id : pool.idle)
+      if (Connection* connection = find_connection(connection_id);
+          connection && now_ - connection->idle_since >= kept)
+        old.push_back(connection_id);
+    for (auto connection_id : old) discard_connection(connection_id, true);
   }
 }
 
@@ -527,8 +534,9 @@
     callbacks_.report_connection_limit(id);
   }
   timers_.at(pool.limit_until, [this, id] {
-    Pool& x = pools_[id];
-    if (x.opening < x.waiting.size() && x.total < connection_share(id) && !x.blocked) start_connection(id);
+    Pool& current = pools_[id];
+    if (current.opening < current.waiting.size() && current.total < connection_share(id) && !current.blocked)
+      start_connection(id);
   });
 }
 
--- a/src/pooler/engine_statements.cc
+++ b/src/pooler/engine_statements.cc
@@ -72,9 +72,9 @@
 Millis Engine::soft_timeout(const InstanceId& id, const Session& session) const {
   auto pool = pools_.find(id);
   if (pool == pools_.end()) return kInitialSoftTimeoutMs;
-  auto w = pool->second.slowest.find(session.route->name);
-  if (w == pool->second.slowest.end()) return kInitialSoftTimeoutMs;
-  return std::max<Millis>(kMinSoftTimeoutMs, Millis(kSoftTimeoutFactor * w->second));
+  auto slowest = pool->second.slowest.find(session.route->name);
+  if (slowest == pool->second.slowest.end()) return kInitialSoftTimeoutMs;
+  return std::max<Millis>(kMinSoftTimeoutMs, Millis(kSoftTimeoutFactor * slowest->second));
 }
 
 // Sends what comes next on this connection: a setup statement, the client's statement, or a rollback.
@@ -252,9 +252,9 @@
     return (state == 'T') == (begin || connection.in_tx) && state != 'E';
   }
   if (connection.stamp.empty() || connection.stamp == "-") return false;
-  auto s = sessions_.find(connection.session);
-  if (s == sessions_.end()) return true;
-  bool open = s->second.state == 'T' && s->second.statement.verb != Verb::kCommit;
+  auto session = sessions_.find(connection.session);
+  if (session == sessions_.end()) return true;
+  bool open = session->second.state == 'T' && session->second.statement.verb != Verb::kCommit;
   return state == (open ? 'T' : 'I');
 }
 
@@ -483,15 +483,15 @@
 }
 
 // Ends the current statement, wherever it is, and answers the client with what is known of its outcome.
-void Engine::abort_statement(Session& s, std::string_view why_not_sent) {
-  const SessionId id = s.id;
-  const bool sent = s.statement.sent && s.conn;
-  discard_connection(std::exchange(s.conn, 0), false);
-  Session* session = find_session(id);  // discarding a connection may run other sessions
-  if (!session || !session->statement.active) return;
-  if (!sent) return refuse_statement(*session, "THROTTLED", std::string(why_not_sent));
-  session->statement.attempts = kNoMoreAttempts;
-  on_statement_lost(*session, true);
+void Engine::abort_statement(Session& session, std::string_view why_not_sent) {
+  const SessionId id = session.id;
+  const bool sent = session.statement.sent && session.conn;
+  discard_connection(std::exchange(session.conn, 0), false);
+  Session* live_session = find_session(id);  // discarding a connection may run other sessions
+  if (!live_session || !live_session->statement.active) return;
+  if (!sent) return refuse_statement(*live_session, "THROTTLED", std::string(why_not_sent));
+  live_session->statement.attempts = kNoMoreAttempts;
+  on_statement_lost(*live_session, true);
 }
 
 }  // namespace pebblespindle::pooler
--- a/tests/pooler/engine_cluster.h
+++ b/tests/pooler/engine_cluster.h
@@ -1,5 +1,5 @@
-// A world around one pooler engine: clients, three model databases, and a control plane that hands over
-// the lead. Every statement that reaches a database is checked against the rules at that moment.
+// A simulation around one pooler engine: clients, three model databases, and a control plane that changes the
+// primary. Every statement that reaches a database is checked against the rules at that moment.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -14,15 +14,16 @@
 using pooler::ConnectionId;
 using pooler::SessionId;
 
-struct Guards {  // troubles of one run
+struct FaultRates {  // probabilities and limits of the faults of one run
   double lose_answer = 0, throttle = 0, reset = 0, leave = 0.01;
   Millis lag_most = 40;
   bool failovers = false, lapses = false;
 };
 
-class World : public pooler::EngineCallbacks {
+class EngineSimulation : public pooler::EngineCallbacks {
  public:
-  World(std::uint32_t seed, Guards g) : rng(seed), guards(g), engine(*this, timers, "z1", 7000, seed) {
+  EngineSimulation(std::uint32_t seed, FaultRates g)
+      : rng(seed), faults(g), engine(*this, timers, "z1", 7000, seed) {
     engine.set_time(now);
     const char* config = R"({"Revision":1,"Routes":[
       {"Name":"p","Hostname":"prim","RouteType":"primary","TimeoutMs":800,"TargetLatencyMs":100,"TargetService":"s","MaxAttempts":2},
@@ -46,13 +47,14 @@
     engine.extend_lease(now + 1500, 5, 1);
   }
 
-  // --- the rules' books -----------------------------------------------------------
-  struct Acked {
+  // --- the records against which the rules are checked
+  // -----------------------------------------------------------
+  struct AcknowledgedCommit {
     Millis at;
     Position position;
     int client;
   };
-  struct Asked {  // a statement a client has sent
+  struct SentStatement {  // a statement a client has sent
     int client = 0, session = 0;
     Millis first_byte = 0;
     std::string text, shape;  // shape: of an EXECUTE
@@ -61,15 +63,15 @@
     char kind = 'p';
     bool write = false;
   };
-  struct Db {
+  struct Database {
     std::string name;
     std::uint64_t term = 1;
-    Position cut{};  // the log up to here is its own once it is not fed any more
+    Position cut{};  // end of its log once it does not replicate any more
     bool fed = true;
     Millis lag = 5;
     mutable Position applied{};
   };
-  struct Line {  // a connection at a database
+  struct DatabaseConnection {  // a connection at a database
     int db = -1;
     bool open = true, greeted = false;
     std::map<std::string, std::string> values, prepared;
@@ -99,14 +101,14 @@
     Millis next = 0;
   };
 
-  Position log_of(const Db& d, bool applied) const {
+  Position log_of(const Database& d, bool applied) const {
     if (!d.fed) return d.cut;
     if (&d == &dbs[primary]) return history.back().second;
     Millis t = applied ? now - d.lag : now;
     Position p{};
     for (auto it = history.rbegin(); it != history.rend() && p.none(); ++it)
       if (it->first <= t) p = it->second;
-    if (applied) d.applied = p = std::max(p, d.applied);  // a log does not go back when its lag grows
+    if (applied) d.applied = p = std::max(p, d.applied);  // a growing lag does not move the log back
     return p;
   }
 
@@ -124,13 +126,13 @@
     }
     timers.run(now);
     for (auto& c : clients) act(c);
-    if (chance(0.05)) commit({}, -1, true);  // commits that come in over other nodes
+    if (chance(0.05)) commit({}, -1, true);  // commits through other nodes
     for (auto& d : dbs)
-      if (chance(0.01)) d.lag = 1 + pick(int(guards.lag_most));
+      if (chance(0.01)) d.lag = 1 + pick(int(faults.lag_most));
     if (now % 300 == 0 && now >= lapse_until) engine.extend_lease(now + 1500, number, 1);
-    if (guards.lapses && chance(0.0005)) lapse_until = now + 2500;
-    if (guards.failovers) control();
-    if (guards.reset > 0 && chance(guards.reset)) {
+    if (faults.lapses && chance(0.0005)) lapse_until = now + 2500;
+    if (faults.failovers) step_failover();
+    if (faults.reset > 0 && chance(faults.reset)) {
       for (auto& [id, l] : lines)
         if (l.open && chance(0.5)) {
           l.open = false;
@@ -146,13 +148,13 @@
     rows.push_back({primary_key("s"), encode_primary(l), n, false});
     engine.apply_update(n, rows);
   }
-  void control() {
+  void step_failover() {
     if (phase == 0 && chance(0.001)) {
       planned = chance(0.5);
       phase = 1;
       held_at = now;
       if (now < lapse_until)
-        ++number;  // the node is cut off: it hears nothing of this
+        ++number;  // the node has no lease and does not learn of the suspension
       else
         lead(primary, true, number + 1);
     } else if (phase == 1 &&
@@ -191,14 +193,14 @@
     later(now + 1, [this, id, bytes = std::move(bytes)] {
       for (auto& c : clients)
         if (c.session == id && c.connected)
-          for (auto& line : split(bytes)) client_hears(c, line);
+          for (auto& line : split(bytes)) client_receives(c, line);
     });
   }
   void close_client(SessionId id) override {
     later(now + 1, [this, id] {
       for (auto& c : clients)
         if (c.session == id && c.connected) {
-          if (c.waiting) lost_answer(c);
+          if (c.waiting) on_answer_lost(c);
           reset_client(c);
         }
     });
@@ -221,12 +223,12 @@
     l.last_in = std::max(l.last_in, now + 1 + pick(3));
     later(l.last_in, [this, id, bytes = std::move(bytes)] {
       for (auto& line : split(bytes))
-        if (lines[id].open) server_hears(id, line);
+        if (lines[id].open) database_receives(id, line);
     });
   }
   void reply(ConnectionId id, std::string text) {
     auto& l = lines[id];
-    if (chance(guards.lose_answer)) return;
+    if (chance(faults.lose_answer)) return;
     l.last_out = std::max(l.last_out, now + 1 + pick(8));
     later(l.last_out, [this, id, text = std::move(text)] {
       for (auto& line : split(text))
@@ -241,32 +243,32 @@
     return out;
   }
 
-  void server_hears(ConnectionId id, std::string_view line);
-  std::string run_statement(Line& l, Db& d, const std::string& qid, std::string_view text,
+  void database_receives(ConnectionId id, std::string_view line);
+  std::string run_statement(DatabaseConnection& l, Database& d, const std::string& qid, std::string_view text,
                             std::string& error);
-  void check_read(const Line& l, const Db& d, const Asked& a);
+  void check_read(const DatabaseConnection& l, const Database& d, const SentStatement& a);
   void act(Client& c);
-  void client_hears(Client& c, std::string_view line);
+  void client_receives(Client& c, std::string_view line);
   void finished(Client& c, char state);
-  void lost_answer(Client& c);
+  void on_answer_lost(Client& c);
   void reset_client(Client& c);
-  void say(Client& c, const std::string& text, bool write, const std::string& shape = {});
+  void send_statement(Client& c, const std::string& text, bool write, const std::string& shape = {});
 
   Millis now = 1000;
   std::mt19937 rng;
-  Guards guards;
+  FaultRates faults;
   TimerQueue timers;
   pooler::Engine engine;
   std::vector<Row> rows;
-  Db dbs[3];
+  Database dbs[3];
   int primary = 0, phase = 0;
   bool planned = false;
   std::uint64_t number = 5;
   Millis held_at = 0, lapse_until = 0;
   std::vector<std::pair<Millis, Position>> history;
-  std::vector<Acked> acks;
-  std::map<ConnectionId, Line> lines;
-  std::map<std::string, Asked> asked;
+  std::vector<AcknowledgedCommit> acks;
+  std::map<ConnectionId, DatabaseConnection> lines;
+  std::map<std::string, SentStatement> asked;
   std::set<std::string> kept, promised;
   std::map<std::string, Position> commit_at;
   std::vector<Client> clients;
--- a/tests/pooler/engine_exit_test.cc
+++ b/tests/pooler/engine_exit_test.cc
@@ -1,4 +1,4 @@
-// A pooler that ends: what it has read is answered, what comes late reaches no database
+// Shutdown of a pooler: statements read in time are answered, later ones reach no database
 // (docs/incidents/exit-cut-statements.md).
 #include "pooler/manual_databases.h"
 
@@ -24,22 +24,22 @@
   // A session with a transaction whose statement of this id is at a database.
   void begin(SessionId id, const std::string& statement) {
     databases.connect(id);
-    databases.say(id, "QUERY b BEGIN");
-    databases.say(id, "QUERY " + statement + " STORE k v");
-    ASSERT_NE(databases.at(statement), 0u);
-    databases.news(id);
+    databases.send_line(id, "QUERY b BEGIN");
+    databases.send_line(id, "QUERY " + statement + " STORE k v");
+    ASSERT_NE(databases.connection_with(statement), 0u);
+    databases.take_output(id);
   }
   ManualDatabases databases;
 };
 
-// Guards against statements that are cut at the end of the process: busy transactions went on after half of
-// it.
+// Guards against statements that are cut off at the end of the process, because busy transactions went on
+// after half of the grace period.
 TEST_F(PoolerExit, ABusyTransactionEndsWithTheAnswerOfItsStatement) {
   begin(1, "a1");
   leave();
   EXPECT_FALSE(databases.ended.count(1)) << "its statement is at work";
   EXPECT_TRUE(databases.answer_to("a1", {kStamp, "IDLE T 1.2"}));
-  EXPECT_EQ(databases.news(1), kStamp + "\r\nIDLE T -\r\n");
+  EXPECT_EQ(databases.take_output(1), kStamp + "\r\nIDLE T -\r\n");
   EXPECT_TRUE(databases.ended.count(1));
 }
 
@@ -47,9 +47,9 @@
 TEST_F(PoolerExit, AStatementThatComesLateIsRefusedAndReachesNoDatabase) {
   begin(1, "a1");
   leave();
-  databases.say(1, "QUERY a2 STORE k w");
+  databases.send_line(1, "QUERY a2 STORE k w");
   EXPECT_TRUE(databases.answer_to("a1", {kStamp, "IDLE T 1.2"}));
-  EXPECT_NE(databases.news(1).find("IDLE T -\r\nSTMTERR ABORTED"), std::string::npos);
+  EXPECT_NE(databases.take_output(1).find("IDLE T -\r\nSTMTERR ABORTED"), std::string::npos);
   EXPECT_FALSE(reached("a2"));
   EXPECT_TRUE(databases.ended.count(1));
 }
@@ -57,11 +57,11 @@
 TEST_F(PoolerExit, ACommitThatComesLateIsRefusedWithAPromise) {
   begin(1, "a1");
   leave();
-  databases.say(1, "QUERY a2 COMMIT");
+  databases.send_line(1, "QUERY a2 COMMIT");
   EXPECT_TRUE(databases.answer_to("a1", {kStamp, "IDLE T 1.2"}));
-  const std::string told = databases.news(1);
-  EXPECT_NE(told.find("STMTERR ABORTED"), std::string::npos) << told;
-  EXPECT_TRUE(told.ends_with("IDLE I -\r\n")) << told;
+  const std::string output = databases.take_output(1);
+  EXPECT_NE(output.find("STMTERR ABORTED"), std::string::npos) << output;
+  EXPECT_TRUE(output.ends_with("IDLE I -\r\n")) << output;
   EXPECT_FALSE(reached("a2"));
   EXPECT_TRUE(reached("- ROLLBACK")) << "its database still has the transaction";
 }
@@ -69,55 +69,56 @@
 TEST_F(PoolerExit, ALateRollbackIsAnswered) {
   begin(1, "a1");
   leave();
-  databases.say(1, "QUERY a2 ROLLBACK");
+  databases.send_line(1, "QUERY a2 ROLLBACK");
   EXPECT_TRUE(databases.answer_to("a1", {kStamp, "IDLE T 1.2"}));
-  EXPECT_TRUE(databases.news(1).ends_with("COMPLETE -\r\nIDLE I -\r\n"));
+  EXPECT_TRUE(databases.take_output(1).ends_with("COMPLETE -\r\nIDLE I -\r\n"));
 }
 
-// Nobody's answer gets worse: what was read in time is run to its end.
+// Statements that were read before the shutdown are all run and answered.
 TEST_F(PoolerExit, APipelineReadInTimeIsRunToItsEnd) {
   begin(1, "a1");
-  databases.say(1, "QUERY a2 STORE k w");
-  databases.say(1, "QUERY a3 COMMIT");
+  databases.send_line(1, "QUERY a2 STORE k w");
+  databases.send_line(1, "QUERY a3 COMMIT");
   leave();
   EXPECT_TRUE(databases.answer_to("a1", {kStamp, "IDLE T 1.2"}));
   EXPECT_TRUE(databases.answer_to("a2", {"COMPLETE 7.2", "IDLE T 1.2"}));
   EXPECT_TRUE(databases.answer_to("a3", {"COMPLETE 7.3", "IDLE I 1.3"}));
-  EXPECT_TRUE(databases.news(1).ends_with("COMPLETE 7.3\r\nIDLE I -\r\n"));
+  EXPECT_TRUE(databases.take_output(1).ends_with("COMPLETE 7.3\r\nIDLE I -\r\n"));
   EXPECT_TRUE(databases.ended.count(1));
 }
 
-// A client that always sends ahead kept its session, and its statements, until the process was gone.
+// Guards against a client that always sends ahead and so keeps its session until the process ends.
 TEST_F(PoolerExit, ASessionThatSendsAheadEndsToo) {
   databases.connect(1);
-  databases.say(1, "QUERY a1 STORE k v");
+  databases.send_line(1, "QUERY a1 STORE k v");
   leave();
-  databases.news(1);
-  for (auto* id : {"a2", "a3", "a4"}) databases.say(1, std::string("QUERY ") + id + " STORE k v");
+  databases.take_output(1);
+  for (auto* id : {"a2", "a3", "a4"}) databases.send_line(1, std::string("QUERY ") + id + " STORE k v");
   EXPECT_TRUE(databases.answer_to("a1", {kStamp, "IDLE I 1.2"}));
-  const std::string told = databases.news(1);
-  EXPECT_TRUE(told.starts_with(kStamp)) << told;
+  const std::string output = databases.take_output(1);
+  EXPECT_TRUE(output.starts_with(kStamp)) << output;
   std::size_t refused = 0;
-  for (std::size_t at = 0; (at = told.find("STMTERR THROTTLED", at)) != std::string::npos; ++at) ++refused;
-  EXPECT_EQ(refused, 3u) << told;
+  for (std::size_t at = 0; (at = output.find("STMTERR THROTTLED", at)) != std::string::npos; ++at) ++refused;
+  EXPECT_EQ(refused, 3u) << output;
   EXPECT_FALSE(reached("a2") || reached("a3") || reached("a4"));
   EXPECT_TRUE(databases.ended.count(1));
 }
 
 TEST_F(PoolerExit, OpenTransactionsAtRestEndAndWorkStays) {
   databases.connect(1);
-  databases.say(1, "QUERY b BEGIN");
+  databases.send_line(1, "QUERY b BEGIN");
   begin(2, "a1");
   databases.engine.begin_shutdown();
   databases.engine.close_idle_sessions();
   EXPECT_TRUE(databases.ended.empty()) << "transactions have half of the grace period";
   databases.engine.stop_accepting_statements();
   EXPECT_TRUE(databases.ended.count(1));
-  databases.pass(500);
+  databases.advance(500);
   EXPECT_FALSE(databases.ended.count(2)) << "a database's silence is no reason to end an answer sooner";
 }
 
-// The last resort: an answer that says what is known, in place of a connection that ends.
+// In the last resort a client gets an answer with what is known of the outcome, rather than a closed
+// connection.
 TEST_F(PoolerExit, WhatIsGivenUpIsAnswered) {
   struct Case {
     const char* what;
@@ -134,14 +135,14 @@
     one.feed();
     one.lease();
     one.connect(1);
-    for (auto& line : lines) one.say(1, line);
-    ASSERT_NE(one.at("w"), 0u) << what;
-    one.news(1);
+    for (auto& line : lines) one.send_line(1, line);
+    ASSERT_NE(one.connection_with("w"), 0u) << what;
+    one.take_output(1);
     one.engine.begin_shutdown();
     one.engine.close_idle_sessions();
     one.engine.stop_accepting_statements();
     one.engine.abort_sessions();
-    EXPECT_TRUE(one.news(1).starts_with(answer)) << what;
+    EXPECT_TRUE(one.take_output(1).starts_with(answer)) << what;
     EXPECT_TRUE(one.ended.count(1)) << what;
     EXPECT_EQ(one.engine.session_count(), 0u) << what;
   }
@@ -150,25 +151,26 @@
 TEST_F(PoolerExit, ACommitThatIsGivenUpIsInDoubt) {
   begin(1, "a1");
   EXPECT_TRUE(databases.answer_to("a1", {kStamp, "IDLE T 1.2"}));
-  databases.say(1, "QUERY a2 COMMIT");
-  ASSERT_NE(databases.at("a2"), 0u);
-  databases.news(1);
+  databases.send_line(1, "QUERY a2 COMMIT");
+  ASSERT_NE(databases.connection_with("a2"), 0u);
+  databases.take_output(1);
   leave();
   databases.engine.abort_sessions();
-  EXPECT_TRUE(databases.news(1).starts_with("STMTERR UNKNOWN"));
+  EXPECT_TRUE(databases.take_output(1).starts_with("STMTERR UNKNOWN"));
 }
 
 TEST_F(PoolerExit, WhatWaitsForAConnectionIsGivenUpWithAPromise) {
-  databases.most = 0;
+  databases.max_connections = 0;
   databases.connect(1);
-  databases.say(1, "QUERY a1 STORE k v");
-  databases.say(1, "QUERY a2 STORE k v");
-  databases.news(1);
+  databases.send_line(1, "QUERY a1 STORE k v");
+  databases.send_line(1, "QUERY a2 STORE k v");
+  databases.take_output(1);
   leave();
   databases.engine.abort_sessions();
-  const std::string told = databases.news(1);
-  EXPECT_TRUE(told.starts_with("STMTERR THROTTLED")) << told;
-  EXPECT_NE(told.find("STMTERR THROTTLED", 1), std::string::npos) << "so is what waits behind it: " << told;
+  const std::string output = databases.take_output(1);
+  EXPECT_TRUE(output.starts_with("STMTERR THROTTLED")) << output;
+  EXPECT_NE(output.find("STMTERR THROTTLED", 1), std::string::npos)
+      << "so is what waits behind it: " << output;
   EXPECT_FALSE(reached("a1") || reached("a2"));
 }
 
--- a/tests/pooler/engine_fuzz_test.cc
+++ b/tests/pooler/engine_fuzz_test.cc
@@ -1,4 +1,4 @@
-// Bytes that nobody should send: random and mutated lines at every reader of the pooler. No crash, bounded
+// Random and mutated lines at every parser of the pooler: no crash, bounded
 // memory, no answer to another caller. PEBBLESPINDLE_FUZZ asks for more rounds than an ordinary run.
 #include <cstdlib>
 #include <random>
@@ -143,14 +143,14 @@
   }
 }
 
-// Databases that do all that is asked, each answer with the name of its statement in it.
+// Answers as well-behaved databases do, with the name of the statement in each answer.
 void serve_well(ManualDatabases& q, std::map<ConnectionId, bool>& tx) {
   for (bool more = true; more;) {
     more = false;
-    for (auto& [conn, l] : q.lines) {
-      if (!l.open || l.heard.empty()) continue;
-      const std::string line = std::move(l.heard.front());
-      l.heard.erase(l.heard.begin());
+    for (auto& [conn, l] : q.connections) {
+      if (!l.open || l.pending.empty()) continue;
+      const std::string line = std::move(l.pending.front());
+      l.pending.erase(l.pending.begin());
       more = true;
       std::string_view rest = line;
       if (sql_protocol::take(rest) == "CONNECT") {
@@ -173,7 +173,7 @@
   }
 }
 
-// One client sends anything; another, on the same pool, hears its own answers and nothing else.
+// One client sends arbitrary lines; another, on the same pool, gets its own answers and nothing else.
 TEST(Fuzz, AClientsBytesTouchNoOther) {
   const char* good[] = {"QUERY x1 FETCH a",
                         "QUERY x1 STORE a b",
@@ -195,25 +195,26 @@
     q.feed();
     q.lease(1000000);
     std::map<ConnectionId, bool> tx;
-    q.by_hand = true;
+    q.answers_setup_by_hand = true;
     q.connect(1);
-    q.news(1);
+    q.take_output(1);
     SessionId wild = 1;
     for (int n = 0; n < 120; ++n) {
       if (q.ended.count(wild) || wild == 1) {
         q.engine.on_client_connected(++wild);
-        if (b.pick(4)) q.say(wild, "CONNECT prim a");
+        if (b.pick(4)) q.send_line(wild, "CONNECT prim a");
       }
       int lines = 1 + b.pick(3);
       for (int k = 0; k < lines && !q.engine.has_backlog(wild); ++k)
-        q.say(wild, one_line(b.pick(5) ? b.mutated(good[b.pick(int(std::size(good)))]) : b.random(200)));
-      if (b.pick(30) == 0) q.say(wild, "QUERY z STORE k " + std::string(100000, 'x'));
+        q.send_line(wild,
+                    one_line(b.pick(5) ? b.mutated(good[b.pick(int(std::size(good)))]) : b.random(200)));
+      if (b.pick(30) == 0) q.send_line(wild, "QUERY z STORE k " + std::string(100000, 'x'));
       const std::string id = "mine" + std::to_string(n);
-      q.say(1, "QUERY " + id + " FETCH k");
+      q.send_line(1, "QUERY " + id + " FETCH k");
       serve_well(q, tx);
-      ASSERT_EQ(q.news(1), "DATAROW of-" + id + "\r\nCOMPLETE st-" + id + "\r\nIDLE I -\r\n")
+      ASSERT_EQ(q.take_output(1), "DATAROW of-" + id + "\r\nCOMPLETE st-" + id + "\r\nIDLE I -\r\n")
           << "round " << i;
-      ASSERT_LE(q.news(wild).size(), 4096u);
+      ASSERT_LE(q.take_output(wild).size(), 4096u);
       if (b.pick(10) == 0) q.engine.on_client_closed(wild), q.ended.insert(wild);
     }
     EXPECT_FALSE(q.ended.count(1));
@@ -234,7 +235,7 @@
   }
   void send_to_database(ConnectionId id, std::string bytes) override {
     ManualDatabases::send_to_database(id, bytes);
-    std::string_view rest = lines[id].heard.back();
+    std::string_view rest = connections[id].pending.back();
     if (sql_protocol::take(rest) != "QUERY") return;
     std::string name(sql_protocol::take(rest));
     if (name != "-") marks[name].insert(tag(id, ++wrote[id]));
@@ -243,8 +244,8 @@
   std::map<std::string, std::set<std::string>> marks;  // by statement
 };
 
-// A database sends anything. What a client hears is whole, in its turn, and only what came over a connection
-// to which its statement had been written, behind it.
+// A database sends arbitrary lines. A client gets only whole answers, in order, and only lines that came
+// after its statement on the connection to which the statement was sent.
 TEST(Fuzz, ADatabasesBytesReachOnlyWhoAsked) {
   long heard = 0, served = 0;
   for (int i = 0; i < rounds(60); ++i) {
@@ -252,7 +253,7 @@
     Marked q(9);
     q.feed();
     q.lease(1000000);
-    q.by_hand = true;
+    q.answers_setup_by_hand = true;
     struct Caller {
       std::string mine;  // what it waits for; empty: nothing
       std::string rows;
@@ -267,26 +268,26 @@
         if (!c.open) {
           q.engine.on_client_closed(s);
           q.connect(s, b.pick(2) ? "prim" : "bound");
-          q.news(s);
+          q.take_output(s);
           c.open = true;
         } else if (c.mine.empty()) {
           c.mine = "q" + std::to_string(++last);
-          q.say(s, "QUERY " + c.mine + (b.pick(2) ? " FETCH k" : " STORE k v"));
+          q.send_line(s, "QUERY " + c.mine + (b.pick(2) ? " FETCH k" : " STORE k v"));
         }
       }
       std::vector<ConnectionId> open;
-      for (auto& [conn, l] : q.lines)
+      for (auto& [conn, l] : q.connections)
         if (l.open) open.push_back(conn);
       for (auto conn : open) {
-        auto& l = q.lines[conn];
+        auto& l = q.connections[conn];
         if (!l.open || b.pick(2)) continue;
-        if (!l.heard.empty() && l.heard.front().starts_with("CONNECT") && b.pick(8)) {
-          l.heard.clear();
+        if (!l.pending.empty() && l.pending.front().starts_with("CONNECT") && b.pick(8)) {
+          l.pending.clear();
           q.read(conn, {"IDLE I 1.1"});
           continue;
         }
-        if (l.heard.empty() && b.pick(20)) continue;
-        l.heard.clear();
+        if (l.pending.empty() && b.pick(20)) continue;
+        l.pending.clear();
         const std::string t = Marked::tag(conn, q.wrote[conn]);
         std::vector<std::string> lines = {"DATAROW " + t, "COMPLETE " + t, "IDLE I 1.2"};
         if (b.pick(4) == 0)
@@ -297,13 +298,13 @@
         if (b.pick(8) == 0) lines.erase(lines.begin() + b.pick(int(lines.size())));
         q.read(conn, lines);
       }
-      q.pass(1 + b.pick(20));
+      q.advance(1 + b.pick(20));
       for (auto& [s, c] : callers) {
-        std::string told = q.news(s);
-        for (std::size_t nl; (nl = told.find("\r\n")) != std::string::npos; told.erase(0, nl + 2)) {
-          std::string_view rest = std::string_view(told).substr(0, nl);
+        std::string output = q.take_output(s);
+        for (std::size_t nl; (nl = output.find("\r\n")) != std::string::npos; output.erase(0, nl + 2)) {
+          std::string_view rest = std::string_view(output).substr(0, nl);
           auto word = sql_protocol::take(rest);
-          ASSERT_FALSE(c.mine.empty()) << "an answer to nothing: " << told.substr(0, nl);
+          ASSERT_FALSE(c.mine.empty()) << "an answer to nothing: " << output.substr(0, nl);
           if (word == "IDLE") {
             ASSERT_TRUE(c.outcome);
             c.mine.clear(), c.rows.clear();
@@ -321,7 +322,7 @@
         }
         ASSERT_FALSE(c.outcome) << "an answer without its end";
       }
-      ASSERT_LE(q.open_lines(), 3u * 9u);
+      ASSERT_LE(q.open_connections(), 3u * 9u);
     }
   }
   EXPECT_GT(heard, 1000);
@@ -409,8 +410,8 @@
           relay.on_controller_line(line);
       }
       if (ends.left || b.pick(10) == 0) relay.on_controller_up(), ends.left = false;
-      q.say(1, "QUERY a FETCH k");
-      q.pass(1);
+      q.send_line(1, "QUERY a FETCH k");
+      q.advance(1);
       q.serve();
       for (auto& out : ends.proxy) {
         ASSERT_LE(out.size(), 4 * bytes + 200) << "more is held than ever came in";
--- a/tests/pooler/engine_simulation_test.cc
+++ b/tests/pooler/engine_simulation_test.cc
@@ -2,8 +2,8 @@
 
 namespace pebblespindle::test {
 
-// What a database does with a line, and what the rules say of it.
-void World::server_hears(ConnectionId id, std::string_view line) {
+// Handles a line at a database and checks it against the rules.
+void EngineSimulation::database_receives(ConnectionId id, std::string_view line) {
   auto& l = lines[id];
   auto& d = dbs[l.db];
   auto word = sql_protocol::take(line);
@@ -18,10 +18,10 @@
   reply(id, body + sql_protocol::idle(l.state, log_of(d, true).text()));
 }
 
-std::string World::run_statement(Line& l, Db& d, const std::string& qid, std::string_view text,
-                                 std::string& error) {
+std::string EngineSimulation::run_statement(DatabaseConnection& l, Database& d, const std::string& qid,
+                                            std::string_view text, std::string& error) {
   const std::string done = "COMPLETE -\r\n";
-  bool leads = &d == &dbs[primary] || !d.fed;  // an old primary goes on until it learns better
+  bool leads = &d == &dbs[primary] || !d.fed;  // a former primary goes on until it learns of its successor
   if (text.starts_with("WAITFOR ")) {
     sql_protocol::take(text);
     auto p = Position::parse(sql_protocol::take(text));
@@ -53,9 +53,9 @@
     ADD_FAILURE() << "UNASKED: " << qid;
     return done;
   }
-  const Asked& q = a->second;
+  const SentStatement& q = a->second;
   if (l.state == 'E') return error = "MALFORMED", "";
-  if (chance(guards.throttle)) return error = "THROTTLED", "";
+  if (chance(faults.throttle)) return error = "THROTTLED", "";
   if (!q.shape.empty()) {
     EXPECT_EQ(l.prepared[std::string(st.name)], q.shape) << "PINNED: a prepared name of another shape";
     EXPECT_TRUE(q.text.ends_with(std::string(st.rest))) << "UNASKED: " << text;
@@ -89,7 +89,7 @@
   return "DATAROW r-" + qid + "\r\nCOMPLETE stamp-" + qid + "\r\n";
 }
 
-void World::check_read(const Line&, const Db& d, const Asked& q) {
+void EngineSimulation::check_read(const DatabaseConnection&, const Database& d, const SentStatement& q) {
   Position log = log_of(d, true);
   if (&d != &dbs[primary]) ++replica_reads;
   Millis stale = q.kind == 'p' ? 0 : q.kind == 'b' ? 400 : 900;
@@ -103,8 +103,8 @@
   }
 }
 
-// A client: one statement at a time, alone or in transactions, now and then gone without a word.
-void World::act(Client& c) {
+// A client sends one statement at a time, alone or in transactions, and sometimes disconnects.
+void EngineSimulation::act(Client& c) {
   if (!c.connected) {
     if (now < c.next) return;
     c.session = ++last_session;
@@ -118,23 +118,24 @@
                                          " me");
     return;
   }
-  if (chance(guards.leave * 0.05)) {
-    if (c.waiting) lost_answer(c);
+  if (chance(faults.leave * 0.05)) {
+    if (c.waiting) on_answer_lost(c);
     engine.on_client_closed(c.session);
     reset_client(c);
     return;
   }
   if (c.waiting || now < c.next) return;
-  if (c.failed) return say(c, chance(0.7) ? "ROLLBACK" : "COMMIT", false);
-  if (c.tx && ++c.steps > 4) return say(c, chance(0.2) ? "ROLLBACK" : "COMMIT", false);
+  if (c.failed) return send_statement(c, chance(0.7) ? "ROLLBACK" : "COMMIT", false);
+  if (c.tx && ++c.steps > 4) return send_statement(c, chance(0.2) ? "ROLLBACK" : "COMMIT", false);
   switch (pick(12)) {
     case 0:
-      return say(c, "CONFIGURE v" + std::to_string(pick(2)) + " x" + std::to_string(pick(3)), false);
+      return send_statement(c, "CONFIGURE v" + std::to_string(pick(2)) + " x" + std::to_string(pick(3)),
+                            false);
     case 1:
-      return say(c,
-                 "PREPARE n" + std::to_string(pick(2)) + (chance(0.5) ? " FETCH q" : " STORE w") +
-                     std::to_string(pick(2)),
-                 false);
+      return send_statement(c,
+                            "PREPARE n" + std::to_string(pick(2)) + (chance(0.5) ? " FETCH q" : " STORE w") +
+                                std::to_string(pick(2)),
+                            false);
     case 2:
     case 3:
       if (c.prepared.empty()) return;
@@ -142,37 +143,40 @@
         auto it = std::next(c.prepared.begin(), pick(int(c.prepared.size())));
         bool write = it->second.starts_with("STORE");
         if (write && c.tx_read_only && c.tx) return;
-        return say(c, "EXECUTE " + it->first + " t" + std::to_string(pick(5)) + (write ? " data" : ""), write,
-                   it->second);
+        return send_statement(
+            c, "EXECUTE " + it->first + " t" + std::to_string(pick(5)) + (write ? " data" : ""), write,
+            it->second);
       }
     case 4:
     case 5:
       if (c.tx) return;
       c.tx_read_only = chance(0.4);
-      return say(c, c.tx_read_only ? "BEGIN FETCH" : "BEGIN", false);
+      return send_statement(c, c.tx_read_only ? "BEGIN FETCH" : "BEGIN", false);
     case 6:
     case 7:
       if (c.tx && c.tx_read_only) return;
-      return say(c, "STORE t" + std::to_string(pick(5)) + " data", true);
+      return send_statement(c, "STORE t" + std::to_string(pick(5)) + " data", true);
     default:
-      return say(c, "FETCH t" + std::to_string(pick(5)), false);
+      return send_statement(c, "FETCH t" + std::to_string(pick(5)), false);
   }
 }
 
-void World::say(Client& c, const std::string& text, bool write, const std::string& shape) {
+void EngineSimulation::send_statement(Client& c, const std::string& text, bool write,
+                                      const std::string& shape) {
   if (text.starts_with("BEGIN")) c.tx = ++last_tx, c.steps = 0, c.tx_began = now, c.tx_ids.clear();
   c.id = "q" + std::to_string(++last_id);
   c.text = text;
   c.waiting = true;
   c.error.clear();
   c.complete = false;
-  Asked a{c.index, int(c.session), c.tx ? c.tx_began : now, text, shape, c.values, c.tx, c.kind, write};
+  SentStatement a{c.index, int(c.session), c.tx ? c.tx_began : now, text, shape, c.values, c.tx,
+                  c.kind,  write};
   asked[c.id] = a;
   if (write && c.tx) c.tx_ids.push_back(c.id);
   engine.on_client_line(c.session, "QUERY " + c.id + " " + text);
 }
 
-void World::client_hears(Client& c, std::string_view line) {
+void EngineSimulation::client_receives(Client& c, std::string_view line) {
   auto word = sql_protocol::take(line);
   if (!c.waiting) ADD_FAILURE() << "an answer to nothing";
   if (word == "STMTERR") {
@@ -185,7 +189,7 @@
   }
 }
 
-void World::finished(Client& c, char state) {
+void EngineSimulation::finished(Client& c, char state) {
   c.waiting = false;
   c.next = now + pick(40);
   if (c.id == "connect") return;
@@ -223,9 +227,9 @@
   if (state == 'I') c.tx = 0, c.tx_ids.clear();
 }
 
-void World::lost_answer(Client&) {}
+void EngineSimulation::on_answer_lost(Client&) {}
 
-void World::reset_client(Client& c) {
+void EngineSimulation::reset_client(Client& c) {
   c.connected = c.waiting = c.failed = false;
   c.tx = 0;
   c.values.clear();
@@ -236,11 +240,11 @@
 
 namespace {
 
-void play(std::uint32_t seed, Guards g, int least_served) {
+void play(std::uint32_t seed, FaultRates g, int least_served) {
   SCOPED_TRACE("seed " + std::to_string(seed));
-  World w(seed, g);
+  EngineSimulation w(seed, g);
   for (int i = 0; i < 12; ++i) {
-    World::Client c;
+    EngineSimulation::Client c;
     c.index = i;
     c.kind = "pbo"[i % 3];
     w.clients.push_back(c);
--- a/tests/pooler/engine_test.cc
+++ b/tests/pooler/engine_test.cc
@@ -9,29 +9,29 @@
 TEST(Engine, SessionsWaitForTheFirstFeedAndLease) {
   ManualDatabases q;
   q.engine.on_client_connected(1);
-  q.say(1, "CONNECT prim a");
-  EXPECT_EQ(q.told[1], "") << "a database may exist that is not known yet";
+  q.send_line(1, "CONNECT prim a");
+  EXPECT_EQ(q.output[1], "") << "a database may exist that is not known yet";
   q.feed();
-  EXPECT_EQ(q.told[1], "");
+  EXPECT_EQ(q.output[1], "");
   q.lease();
-  EXPECT_EQ(q.told[1], "IDLE I -\r\n");
+  EXPECT_EQ(q.output[1], "IDLE I -\r\n");
   ManualDatabases late;
   late.engine.on_client_connected(1);
-  late.say(1, "CONNECT prim a");
-  late.pass(kInitialFeedWaitMs + 1);
-  EXPECT_TRUE(late.told[1].starts_with("STMTERR THROTTLED")) << late.told[1];
+  late.send_line(1, "CONNECT prim a");
+  late.advance(kInitialFeedWaitMs + 1);
+  EXPECT_TRUE(late.output[1].starts_with("STMTERR THROTTLED")) << late.output[1];
   EXPECT_TRUE(late.ended.count(1));
 }
 
 TEST(Engine, ASessionThatWaitedForALeaseIsGreetedOnce) {
   ManualDatabases q;
   q.engine.on_client_connected(1);
-  q.say(1, "CONNECT prim a");
+  q.send_line(1, "CONNECT prim a");
   q.feed();
-  q.pass(kInitialFeedWaitMs + 1);  // the lease is late: the session is greeted without it
-  EXPECT_EQ(q.told[1], "IDLE I -\r\n");
+  q.advance(kInitialFeedWaitMs + 1);  // the lease is late: the session is greeted without it
+  EXPECT_EQ(q.output[1], "IDLE I -\r\n");
   q.lease();
-  EXPECT_EQ(q.told[1], "IDLE I -\r\n") << "an answer to nothing";
+  EXPECT_EQ(q.output[1], "IDLE I -\r\n") << "an answer to nothing";
 }
 
 TEST(Engine, ACommitThatIsAnsweredAfterTheSuspensionIsNotPassedOnAsKept) {
@@ -39,17 +39,17 @@
   q.feed();
   q.lease();
   q.engine.on_client_connected(1);
-  q.say(1, "CONNECT prim a");
-  q.say(1, "QUERY x1 STORE k v");
+  q.send_line(1, "CONNECT prim a");
+  q.send_line(1, "QUERY x1 STORE k v");
   q.serve();
-  q.told[1].clear();
+  q.output[1].clear();
   q.feed(true);  // suspended while the write runs
   q.lease();
-  EXPECT_LT(q.engine.acknowledged_sequence(), q.number) << "running work may end for a moment";
-  q.pass(kHandOverDrainMs + 1);
-  EXPECT_EQ(q.engine.acknowledged_sequence(), q.number);
+  EXPECT_LT(q.engine.acknowledged_sequence(), q.sequence) << "running work may end for a moment";
+  q.advance(kHandOverDrainMs + 1);
+  EXPECT_EQ(q.engine.acknowledged_sequence(), q.sequence);
   EXPECT_EQ(q.answer("COMPLETE 7.1"), 1);
-  EXPECT_TRUE(q.told[1].starts_with("STMTERR UNKNOWN")) << q.told[1];
+  EXPECT_TRUE(q.output[1].starts_with("STMTERR UNKNOWN")) << q.output[1];
 }
 
 TEST(Engine, ANodeWhoseLeaseHasEndedSendsItsClientsElsewhere) {
@@ -58,15 +58,15 @@
   q.lease(1000);
   for (SessionId id : {1, 2}) {
     q.engine.on_client_connected(id);
-    q.say(id, "CONNECT prim a");
+    q.send_line(id, "CONNECT prim a");
   }
   EXPECT_TRUE(q.engine.ready());
-  q.pass(1001);
-  q.say(1, "QUERY x1 FETCH k");
-  q.pass(100);
-  EXPECT_NE(q.told[1].find("STMTERR THROTTLED"), std::string::npos);
+  q.advance(1001);
+  q.send_line(1, "QUERY x1 FETCH k");
+  q.advance(100);
+  EXPECT_NE(q.output[1].find("STMTERR THROTTLED"), std::string::npos);
   EXPECT_TRUE(q.ended.count(1)) << "it can be served nowhere but at another node";
-  q.pass(kReadyAfterLeaseEndMs);
+  q.advance(kReadyAfterLeaseEndMs);
   EXPECT_FALSE(q.engine.ready());
   q.engine.close_idle_connections();
   EXPECT_TRUE(q.ended.count(2));
@@ -81,28 +81,28 @@
     q.lease(100000, scarce ? 60 : 4);
     for (SessionId id : {1, 2}) {
       q.engine.on_client_connected(id);
-      q.say(id, "CONNECT prim a");
-      q.say(id, "QUERY x FETCH k");
+      q.send_line(id, "CONNECT prim a");
+      q.send_line(id, "QUERY x FETCH k");
     }
     EXPECT_EQ(q.answer("COMPLETE 7.1"), 1);
     EXPECT_EQ(q.answer("COMPLETE 7.1"), 1);
-    EXPECT_EQ(q.open_lines(), scarce ? 1u : 2u);
-    q.pass(kIdleCheckIntervalMs);
+    EXPECT_EQ(q.open_connections(), scarce ? 1u : 2u);
+    q.advance(kIdleCheckIntervalMs);
     q.engine.close_idle_connections();
-    EXPECT_EQ(q.open_lines(), scarce ? 1u : 2u);
+    EXPECT_EQ(q.open_connections(), scarce ? 1u : 2u);
   }
   double kept = 0;  // of one that has turned a connection away, by 200 nodes
-  for (std::uint64_t lot = 0; lot < 200; ++lot) {
-    ManualDatabases q(50, lot * 7919);
+  for (std::uint64_t node_seed = 0; node_seed < 200; ++node_seed) {
+    ManualDatabases q(50, node_seed * 7919);
     q.feed();
     q.lease(100000, 60);
     q.engine.on_client_connected(1);
-    q.say(1, "CONNECT prim a");
-    q.say(1, "QUERY x FETCH k");
+    q.send_line(1, "CONNECT prim a");
+    q.send_line(1, "QUERY x FETCH k");
     EXPECT_EQ(q.answer("COMPLETE 7.1"), 1);
     q.engine.note_connection_limit({"db0"});
     q.engine.close_idle_connections();
-    kept += double(q.open_lines());
+    kept += double(q.open_connections());
   }
   EXPECT_NEAR(kept / 200, kKeptConnectionShare * 46 / 60, 0.1);
 }
@@ -116,19 +116,19 @@
     q.lease();
     q.engine.note_controller_clock(5, 70000);
     q.engine.on_client_connected(1);
-    q.say(1, "CONNECT bound a");
+    q.send_line(1, "CONNECT bound a");
     auto read = [&] {
-      q.say(1, "QUERY a FETCH k");
+      q.send_line(1, "QUERY a FETCH k");
       answered ? q.engine.on_position_reply("s", q.now - 900, Position{1, 2})
-               : q.pass(kPositionQueryTimeoutMs);
+               : q.advance(kPositionQueryTimeoutMs);
       return q.answer("COMPLETE 7.1");
     };
     EXPECT_EQ(read(), answered ? 1 : 2);
-    EXPECT_EQ(q.asked_depth.size(), 1u);
+    EXPECT_EQ(q.position_requests.size(), 1u);
     if (!answered) continue;
     q.engine.avoid_reads({"db0"});  // its zone finds it failing
     EXPECT_NE(read(), 1);
-    q.pass(kReportedEjectionMs);
+    q.advance(kReportedEjectionMs);
     EXPECT_EQ(read(), 1) << "it is tried again";
   }
 }
@@ -141,8 +141,8 @@
     q.engine.note_controller_clock(5, 70000);
     if (tight) q.engine.note_connection_limit({"db0"});
     q.engine.on_client_connected(1);
-    q.say(1, "CONNECT bound a");
-    q.say(1, "QUERY a FETCH k");
+    q.send_line(1, "CONNECT bound a");
+    q.send_line(1, "QUERY a FETCH k");
     if (tight) q.engine.on_position_reply("s", q.now - 900, Position{1, 1});
     EXPECT_EQ(q.answer("COMPLETE 7.1") == 1, !tight);
   }
@@ -153,12 +153,12 @@
   q.feed();
   q.lease();
   q.engine.on_client_connected(1);
-  q.say(1, "CONNECT bound a");
-  q.say(1, "QUERY a FETCH k");  // nothing is known of the primary's position yet: it is asked
+  q.send_line(1, "CONNECT bound a");
+  q.send_line(1, "QUERY a FETCH k");  // nothing is known of the primary's position yet: it is asked
   EXPECT_EQ(q.answer("COMPLETE 7.1"), 1);
   std::map<int, int> failed;
   for (int i = 0; i < 12; ++i) {
-    q.say(1, "QUERY b FETCH k");
+    q.send_line(1, "QUERY b FETCH k");
     int port = q.answer("STMTERR EXECFAILED");
     ++failed[port];
     int other = q.answer("COMPLETE 7.1");
@@ -170,19 +170,18 @@
   EXPECT_GE(sights["d"].size(), 1u);
 }
 
-// Behind the change that its lease names, or without a lease, a node cannot tell a route that is missing from
-// one it has not heard of.
+// A node without a valid lease cannot tell a missing route from one that it has not received yet.
 TEST(Engine, ARouteNotHeardOfIsNotDenied) {
   ManualDatabases q;
   q.feed();
   q.lease();
   auto ask = [&](SessionId id) {
     q.engine.on_client_connected(id);
-    q.say(id, "CONNECT elsewhere u1");
-    return q.told[id];
+    q.send_line(id, "CONNECT elsewhere u1");
+    return q.output[id];
   };
   EXPECT_NE(ask(1).find("NODATABASE"), std::string::npos);
-  q.engine.extend_lease(q.now + 100000, q.number + 1, 1);
+  q.engine.extend_lease(q.now + 100000, q.sequence + 1, 1);
   EXPECT_NE(ask(2).find("THROTTLED"), std::string::npos);
   q.feed();
   EXPECT_NE(ask(3).find("NODATABASE"), std::string::npos);
@@ -191,13 +190,14 @@
 // Whether a write is passed on to the primary, which is draining.
 bool asks_the_draining_primary(ManualDatabases& q, SessionId session) {
   q.connect(session);
-  q.say(session, "QUERY a STORE k v");
+  q.send_line(session, "QUERY a STORE k v");
   const bool asked = q.answer("COMPLETE 7.1") != 0;
   q.engine.on_client_closed(session);
   return asked;
 }
 
-// Guards against DrainMs counted anew by a node that starts, or was cut off, while a database is leaving.
+// Guards against a node that restarts DrainMs because it started, or was cut off, while a database was
+// draining.
 TEST(Engine, DrainMsRunsFromWhenTheNodeLastKnewAllAndNotFromItsStart) {
   ManualDatabases up;
   up.feed();
@@ -206,7 +206,7 @@
   up.feed();
   up.lease(kNodeLeaseMs);
   EXPECT_TRUE(asks_the_draining_primary(up, 1)) << "it heard of it in time";
-  up.pass(6500);
+  up.advance(6500);
   up.lease(kNodeLeaseMs);
   EXPECT_FALSE(asks_the_draining_primary(up, 2));
 
@@ -219,29 +219,29 @@
   ManualDatabases cut_off;
   cut_off.feed();
   cut_off.lease(kNodeLeaseMs);
-  cut_off.pass(6500);
+  cut_off.advance(6500);
   cut_off.draining = {"db0"};
   cut_off.feed();
   cut_off.lease(kNodeLeaseMs);
   EXPECT_FALSE(asks_the_draining_primary(cut_off, 1));
 }
 
-// Guards against a primary that is never asked again: its first trial connection met CONNLIMIT.
+// Guards against a primary that is never used again because its first probe connection met CONNLIMIT.
 TEST(Engine, ADatabaseThatIsClosedOffIsTriedAgainWhateverItsTrialConnectionMeets) {
   for (const std::string error : {"STMTERR CONNLIMIT full", "STMTERR WRONGNODE x", "STMTERR THROTTLED x"}) {
     ManualDatabases q;
     q.feed();
     q.lease();
     q.connect(1);
-    q.say(1, "QUERY a STORE k v");
-    q.engine.on_connection_lost(q.lines.begin()->first, true, false);  // refused
-    q.lines.begin()->second.open = false;
+    q.send_line(1, "QUERY a STORE k v");
+    q.engine.on_connection_lost(q.connections.begin()->first, true, false);  // refused
+    q.connections.begin()->second.open = false;
     std::size_t trials = 0;
     for (int step = 0; step < 20 && trials < 3; ++step) {
-      q.pass(kMaxProbeIntervalMs / 4);
-      for (auto& [id, line] : q.lines) {
-        if (!line.open || line.heard.empty()) continue;
-        line.heard.clear();
+      q.advance(kMaxProbeIntervalMs / 4);
+      for (auto& [id, line] : q.connections) {
+        if (!line.open || line.pending.empty()) continue;
+        line.pending.clear();
         ++trials;
         q.read(id, {error});
         break;
@@ -249,11 +249,11 @@
     }
     EXPECT_EQ(trials, 3u) << error;
     for (Millis waited = 0; waited < 2 * kMaxProbeIntervalMs; waited += kFirstProbeDelayMs) {
-      q.pass(kFirstProbeDelayMs);
+      q.advance(kFirstProbeDelayMs);
       q.serve();
     }
-    q.say(1, "QUERY b STORE k v");
-    EXPECT_NE(q.at("b"), 0u) << error;
+    q.send_line(1, "QUERY b STORE k v");
+    EXPECT_NE(q.connection_with("b"), 0u) << error;
   }
 }
 
--- a/tests/pooler/manual_databases.h
+++ b/tests/pooler/manual_databases.h
@@ -1,4 +1,4 @@
-// A pooler's engine against databases that a test answers for by hand.
+// Connects a pooler engine to databases whose answers the test gives explicitly.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -11,25 +11,26 @@
 using pooler::SessionId;
 
 struct ManualDatabases : pooler::EngineCallbacks {
-  struct Line {
+  struct DatabaseConnection {
     Endpoint at;
-    std::vector<std::string> heard;  // statements not yet answered
+    std::vector<std::string> pending;  // statements not yet answered
     bool open = true;
   };
-  explicit ManualDatabases(int cap = 16, std::uint64_t lot = 7, const std::string& zone = "z0")
-      : engine(*this, timers, zone, 7000, lot) {
+  explicit ManualDatabases(int max_config_connections = 16, std::uint64_t node_seed = 7,
+                           const std::string& zone = "z0")
+      : engine(*this, timers, zone, 7000, node_seed) {
     engine.set_time(now);
     config = R"({"Revision":1,"Routes":[
       {"Name":"p","Hostname":"prim","RouteType":"primary","TimeoutMs":800,"TargetLatencyMs":100,"TargetService":"s","MaxAttempts":2},
       {"Name":"b","Hostname":"bound","RouteType":"bounded","TimeoutMs":800,"TargetLatencyMs":100,"TargetService":"s","MaxAttempts":2,"stale_ms":5000}],
       "Services":[{"Name":"s","MaxConnections":)" +
-             std::to_string(cap) + "}]}";
+             std::to_string(max_config_connections) + "}]}";
   }
-  void feed(bool hold = false, const std::string& lead = "db0") {
+  void feed(bool suspended = false, const std::string& lead = "db0") {
     std::vector<Row> rows;
-    ++number;
+    ++sequence;
     for (auto& [key, value] : encode_configuration(*read_configuration(config)))
-      rows.push_back({key, value, number, false});
+      rows.push_back({key, value, sequence, false});
     for (int i = 0; i < 3; ++i) {
       Instance in{{"db" + std::to_string(i)},
                   "s",
@@ -40,33 +41,35 @@
                   i == 0,
                   1};
       in.draining = draining.count(in.id.value) > 0;
-      rows.push_back({instance_key(in.id), encode_instance(in), number, false});
+      rows.push_back({instance_key(in.id), encode_instance(in), sequence, false});
     }
-    rows.push_back(
-        {primary_key("s"), encode_primary(PrimaryAssignment{{lead}, hold, true, 1, false}), number, false});
-    engine.apply_update(number, rows);
+    rows.push_back({primary_key("s"), encode_primary(PrimaryAssignment{{lead}, suspended, true, 1, false}),
+                    sequence, false});
+    engine.apply_update(sequence, rows);
   }
-  void lease(Millis ms = 100000, std::size_t members = 1) { engine.extend_lease(now + ms, number, members); }
-  void pass(Millis ms) {
+  void lease(Millis ms = 100000, std::size_t members = 1) {
+    engine.extend_lease(now + ms, sequence, members);
+  }
+  void advance(Millis ms) {
     for (Millis end = now + ms; now < end;) {
       engine.set_time(++now);
       timers.run(now);
     }
   }
-  void say(SessionId id, const std::string& line) { engine.on_client_line(id, line); }
-  // Greets new connections; answers statements of the core's own kind; leaves the clients' to the test.
+  void send_line(SessionId id, const std::string& line) { engine.on_client_line(id, line); }
+  // Answers CONNECT and the pooler's own setup statements; leaves the clients' statements to the test.
   void serve() {
     for (bool more = true; more;) {
       more = false;
-      for (auto& [id, l] : lines) {
-        if (!l.open || l.heard.empty()) continue;
-        std::string s = l.heard.front();
+      for (auto& [id, l] : connections) {
+        if (!l.open || l.pending.empty()) continue;
+        std::string s = l.pending.front();
         if (s.starts_with("CONNECT")) {
-          l.heard.erase(l.heard.begin());
+          l.pending.erase(l.pending.begin());
           engine.on_database_line(id, "IDLE I 1.1");
           engine.on_database_read_end(id);
-        } else if (s.starts_with("QUERY - ") && !by_hand) {
-          l.heard.erase(l.heard.begin());
+        } else if (s.starts_with("QUERY - ") && !answers_setup_by_hand) {
+          l.pending.erase(l.pending.begin());
           engine.on_database_line(id, "COMPLETE -");
           engine.on_database_line(id, s.find("BEGIN") == std::string::npos ? "IDLE I 1.1" : "IDLE T 1.1");
           engine.on_database_read_end(id);
@@ -78,13 +81,14 @@
       }
     }
   }
-  // Answers the first client's statement that waits at a database; its port tells which. 0: none waits.
+  // Answers the first client statement that waits at a database and returns that database's port; 0 if none
+  // waits.
   int answer(const std::string& body) {
     serve();
-    for (auto& [id, l] : lines)
-      if (l.open && !l.heard.empty()) {
+    for (auto& [id, l] : connections)
+      if (l.open && !l.pending.empty()) {
         int port = l.at.port;
-        l.heard.erase(l.heard.begin());
+        l.pending.erase(l.pending.begin());
         engine.on_database_line(id, body);
         engine.on_database_line(id, "IDLE I 1.2");
         engine.on_database_read_end(id);
@@ -93,71 +97,73 @@
       }
     return 0;
   }
-  // One read of a connection: these lines, and no more.
+  // Passes these lines to the engine as one read of the connection.
   void read(ConnectionId id, const std::vector<std::string>& lines_read) {
     for (auto& line : lines_read)
-      if (lines[id].open) engine.on_database_line(id, line);
-    if (lines[id].open) engine.on_database_read_end(id);
+      if (connections[id].open) engine.on_database_line(id, line);
+    if (connections[id].open) engine.on_database_read_end(id);
   }
   void connect(SessionId id, const std::string& host = "prim", const std::string& key = "a") {
     engine.on_client_connected(id);
-    say(id, "CONNECT " + host + " " + key);
+    send_line(id, "CONNECT " + host + " " + key);
   }
-  // The connection at which the first statement that begins so waits for its answer; 0: none does.
-  ConnectionId at(const std::string& statement) {
+  // Returns the connection on which a statement that begins with this text waits for its answer; 0 if there
+  // is none.
+  ConnectionId connection_with(const std::string& statement) {
     serve();
-    for (auto& [id, l] : lines)
-      if (l.open && !l.heard.empty() && l.heard.front().starts_with("QUERY " + statement)) return id;
+    for (auto& [id, l] : connections)
+      if (l.open && !l.pending.empty() && l.pending.front().starts_with("QUERY " + statement)) return id;
     return 0;
   }
-  // Answers it in one read.
+  // Answers that statement in one read. Returns false if no such statement waits.
   bool answer_to(const std::string& statement, const std::vector<std::string>& body) {
-    ConnectionId id = at(statement);
+    ConnectionId id = connection_with(statement);
     if (!id) return false;
-    lines[id].heard.erase(lines[id].heard.begin());
+    connections[id].pending.erase(connections[id].pending.begin());
     read(id, body);
     return true;
   }
-  // What a session has been told since the last call.
-  std::string news(SessionId id) { return std::exchange(told[id], {}); }
-  std::size_t open_lines() const {
-    return std::size_t(std::count_if(lines.begin(), lines.end(), [](auto& l) { return l.second.open; }));
+  // Returns what was sent to a session since the last call.
+  std::string take_output(SessionId id) { return std::exchange(output[id], {}); }
+  std::size_t open_connections() const {
+    return std::size_t(
+        std::count_if(connections.begin(), connections.end(), [](auto& l) { return l.second.open; }));
   }
 
-  void send_to_client(SessionId id, std::string bytes) override { told[id] += bytes; }
+  void send_to_client(SessionId id, std::string bytes) override { output[id] += bytes; }
   void close_client(SessionId id) override { ended.insert(id); }
   void open_connection(ConnectionId id, const Endpoint& at) override {
-    lines[id].at = at;
-    if (open_lines() > most) return;  // it does not come up
+    connections[id].at = at;
+    if (open_connections() > max_connections) return;  // the connection does not come up
     timers.at(now, [this, id] {
-      if (lines[id].open) engine.on_connection_up(id);
+      if (connections[id].open) engine.on_connection_up(id);
     });
-    pass(1);
+    advance(1);
   }
   void send_to_database(ConnectionId id, std::string bytes) override {
     written.push_back(bytes.substr(0, bytes.find("\r\n")));
-    lines[id].heard.push_back(bytes.substr(0, bytes.find("\r\n")));
+    connections[id].pending.push_back(bytes.substr(0, bytes.find("\r\n")));
   }
-  void close_connection(ConnectionId id, bool) override { lines[id].open = false; }
+  void close_connection(ConnectionId id, bool) override { connections[id].open = false; }
   void report_failure(const InstanceId&, FailureKind) override {}
   void report_connection_limit(const InstanceId&) override {}
   void request_quota(const std::string&, quota::Rights) override {}
-  void request_position(const std::string& service) override { asked_depth.push_back(service); }
+  void request_position(const std::string& service) override { position_requests.push_back(service); }
   void report_slow_primary(const InstanceId&) override {}
   void report_recovered(const InstanceId&) override {}
 
   TimerQueue timers;
   Millis now = 10000;
-  std::uint64_t number = 0;
+  std::uint64_t sequence = 0;
   std::string config;
-  std::set<std::string> draining;  // as of the next feed
-  std::size_t most = 99;           // connections that come up
-  bool by_hand = false;            // also the node's own statements are the test's to answer
-  std::vector<std::string> asked_depth;
+  std::set<std::string> draining;      // as of the next feed
+  std::size_t max_connections = 99;    // connections that come up
+  bool answers_setup_by_hand = false;  // the test also answers the setup statements
+  std::vector<std::string> position_requests;
   pooler::Engine engine;
-  std::map<ConnectionId, Line> lines;
-  std::vector<std::string> written;  // to databases, all of it
-  std::map<SessionId, std::string> told;
+  std::map<ConnectionId, DatabaseConnection> connections;
+  std::vector<std::string> written;  // everything sent to databases
+  std::map<SessionId, std::string> output;
   std::set<SessionId> ended;
 };
 
--- a/tests/pooler/session_cluster.cc
+++ b/tests/pooler/session_cluster.cc
@@ -1,4 +1,4 @@
-// The databases of the world of sessions, the control plane, and what goes wrong.
+// The databases, the control plane and the faults of the session simulation.
 #include "pooler/session_cluster.h"
 
 #include <cstdlib>
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-SessionsWorld::SessionsWorld(std::uint32_t seed, Troubles t) : rng_(seed), t_(t) {
+SessionSimulation::SessionSimulation(std::uint32_t seed, FaultRates t) : rng_(seed), faults_(t) {
   std::string routes;
   for (auto* r : {"primary", "bounded"})
     routes +=
@@ -41,7 +41,7 @@
   start_pooler();
 }
 
-Instance SessionsWorld::instance(int db) const {
+Instance SessionSimulation::instance(int db) const {
   return {{dbs_[std::size_t(db)].name},
           "s",
           "z" + std::to_string(db),
@@ -52,71 +52,72 @@
           std::uint64_t(now_)};
 }
 
-void SessionsWorld::grant() {
-  engine_->note_controller_clock(life_, now_);
+void SessionSimulation::grant() {
+  engine_->note_controller_clock(incarnation_, now_);
   engine_->extend_lease(now_ + 950, core_.last_sequence(), 1);
 }
 
-void SessionsWorld::request_quota(const std::string& tenant, quota::Rights want) {
-  if (chance(t_.lost * 5)) return;
-  later(1 + pick(20), [this, tenant, want, life = life_] {
-    if (life == life_)
-      engine_->on_quota_granted(tenant, "core", given_[tenant] += chance(t_.refuse * 5) ? 0 : want);
+void SessionSimulation::request_quota(const std::string& tenant, quota::Rights want) {
+  if (chance(faults_.lost * 5)) return;
+  later(1 + pick(20), [this, tenant, want, life = incarnation_] {
+    if (life == incarnation_)
+      engine_->on_quota_granted(tenant, "core",
+                                granted_quota_[tenant] += chance(faults_.refuse * 5) ? 0 : want);
   });
 }
 
-void SessionsWorld::request_position(const std::string& service) {
-  if (chance(t_.lost * 5)) return;
-  later(1 + pick(20), [this, service, asked = now_, life = life_] {
-    if (life != life_) return;
+void SessionSimulation::request_position(const std::string& service) {
+  if (chance(faults_.lost * 5)) return;
+  later(1 + pick(20), [this, service, asked = now_, life = incarnation_] {
+    if (life != incarnation_) return;
     engine_->on_position_reply(service, asked - 50,
                                chance(0.8) ? std::optional(Position{1, 1}) : std::nullopt);
   });
 }
 
-void SessionsWorld::feed(const Json& update) {
+void SessionSimulation::feed(const Json& update) {
   auto v = validate_command(core_, update);
   ASSERT_TRUE(v.status.is_ok());
   std::uint64_t n = core_.last_sequence() + 1;
   for (auto& r : v.rows) r.sequence = n, core_.put(r);
-  if (engine_) feed_hold();
+  if (engine_) feed_engine();
 }
 
-void SessionsWorld::feed_hold() {
-  if (hold_.sequence() >= core_.last_sequence()) return;
-  for (auto& line :
-       encode_update_lines(hold_.sequence(), core_.last_sequence(), core_.rows_after(hold_.sequence()))) {
-    auto taken = hold_.apply(Json::parse(line), std::string_view(line).substr(0, line.size() - 1));
+void SessionSimulation::feed_engine() {
+  if (agent_cache_.sequence() >= core_.last_sequence()) return;
+  for (auto& line : encode_update_lines(agent_cache_.sequence(), core_.last_sequence(),
+                                        core_.rows_after(agent_cache_.sequence()))) {
+    auto taken = agent_cache_.apply(Json::parse(line), std::string_view(line).substr(0, line.size() - 1));
     if (taken.forward.empty()) continue;
     Json m = Json::parse(taken.forward);
     engine_->apply_update(m["k"], *decode_rows(m["r"]), m.value("whole", false));
   }
 }
 
-// A new life of the pooler: its connections end at both sides, with what was on its way run or not.
-void SessionsWorld::start_pooler() {
-  for (auto& [id, l] : lines_)
-    while (!l.dark && !l.in.empty() && chance(0.8)) {
+// Restarts the pooler: its connections end at both sides; statements in flight may or may not have run.
+void SessionSimulation::start_pooler() {
+  for (auto& [id, l] : connections_)
+    while (!l.lost && !l.in.empty() && chance(0.8)) {
       std::string line = std::move(l.in.front());
       l.in.pop_front();
       l.open = false;
       run(id, line);
     }
-  ++life_;
-  lines_.clear();
-  for (auto& c : clients_) gone(c);
+  ++incarnation_;
+  connections_.clear();
+  for (auto& c : clients_) reset_client(c);
   engine_.reset();
   timers_ = std::make_unique<TimerQueue>();
   engine_ = std::make_unique<pooler::Engine>(*this, *timers_, "z1", 7000, rng_());
   engine_->set_time(now_);
-  hold_ = StateCache();
-  given_.clear();
-  ending_ = false;
-  feed_hold();
+  agent_cache_ = StateCache();
+  granted_quota_.clear();
+  shutting_down_ = false;
+  feed_engine();
   grant();
 }
 
-void SessionsWorld::step() {
+void SessionSimulation::step() {
   ++now_;
   engine_->set_time(now_);
   while (!events_.empty() && events_.top().at <= now_) {
@@ -128,115 +129,117 @@
   for (auto& c : clients_) act(c);
   if (now_ % 300 == 0 && now_ >= lapse_until_) grant();
   if (now_ % 250 == 0) engine_->close_idle_connections();
-  if (chance(t_.lapse)) lapse_until_ = now_ + 1500;
-  if (chance(t_.stall)) dbs_[std::size_t(pick(3))].still_until = now_ + 20 + pick(1500);
-  if (chance(t_.reset) && !lines_.empty()) {
-    auto it = std::next(lines_.begin(), pick(int(lines_.size())));
+  if (chance(faults_.lapse)) lapse_until_ = now_ + 1500;
+  if (chance(faults_.stall)) dbs_[std::size_t(pick(3))].stalled_until = now_ + 20 + pick(1500);
+  if (chance(faults_.reset) && !connections_.empty()) {
+    auto it = std::next(connections_.begin(), pick(int(connections_.size())));
     int db = it->second.db;
     bool all = chance(0.2);  // the whole database
     std::vector<pooler::ConnectionId> ids;
-    for (auto& [id, l] : lines_)
+    for (auto& [id, l] : connections_)
       if (all ? l.db == db : id == it->first) ids.push_back(id);
-    for (auto id : ids) reset_line(id);
+    for (auto id : ids) reset_connection(id);
   }
-  if (chance(t_.stray) && !lines_.empty()) {  // an answer to nothing
-    auto it = std::next(lines_.begin(), pick(int(lines_.size())));
-    if (it->second.open && it->second.owed == 0) {
+  if (chance(faults_.stray) && !connections_.empty()) {  // an answer to nothing
+    auto it = std::next(connections_.begin(), pick(int(connections_.size())));
+    if (it->second.open && it->second.answers_owed == 0) {
       pooler::ConnectionId id = it->first;
       for (auto* line : {"DATAROW r", "COMPLETE stray", "IDLE I 1.1"})
         if (!chance(0.3)) engine_->on_database_line(id, line);
       engine_->on_database_read_end(id);
     }
   }
-  if (chance(t_.agent)) {  // its new life is told the whole
-    hold_ = StateCache();
-    feed_hold();
+  if (chance(faults_.agent)) {  // the restarted agent gets the whole state
+    agent_cache_ = StateCache();
+    feed_engine();
   }
-  if (!ending_ && chance(t_.pooler)) {
+  if (!shutting_down_ && chance(faults_.pooler)) {
     if (chance(0.5)) return start_pooler();
-    ending_ = true;  // in order: what rests ends first, then what is open
+    shutting_down_ = true;  // an orderly shutdown
     engine_->begin_shutdown();
     engine_->close_idle_sessions();
-    later(100 + pick(300), [this, life = life_] {
-      if (life == life_) engine_->stop_accepting_statements();
+    later(100 + pick(300), [this, life = incarnation_] {
+      if (life == incarnation_) engine_->stop_accepting_statements();
     });
-    later(430, [this, life = life_] {
-      if (life == life_) engine_->abort_sessions();
+    later(430, [this, life = incarnation_] {
+      if (life == incarnation_) engine_->abort_sessions();
     });
-    later(450, [this, life = life_] {
-      if (life == life_) start_pooler();
+    later(450, [this, life = incarnation_] {
+      if (life == incarnation_) start_pooler();
     });
   }
-  if (away_ >= 0 && (t_.leave == 0 || chance(0.005))) {
-    feed(put_instance(instance(std::exchange(away_, -1))));
-  } else if (away_ < 0 && !held_ && chance(t_.leave)) {
-    away_ = (primary_ + 1 + pick(2)) % 3;
-    feed(remove_instance({dbs_[std::size_t(away_)].name}));
+  if (removed_replica_ >= 0 && (faults_.leave == 0 || chance(0.005))) {
+    feed(put_instance(instance(std::exchange(removed_replica_, -1))));
+  } else if (removed_replica_ < 0 && !suspended_ && chance(faults_.leave)) {
+    removed_replica_ = (primary_ + 1 + pick(2)) % 3;
+    feed(remove_instance({dbs_[std::size_t(removed_replica_)].name}));
   }
   promote();
 }
 
-void SessionsWorld::promote() {
+void SessionSimulation::promote() {
   const std::string expected(core_.find(primary_key("s"))->value);
-  if (!held_ && chance(t_.promote)) {
-    held_ = true;
-    held_at_ = now_;
+  if (!suspended_ && chance(faults_.promote)) {
+    suspended_ = true;
+    suspended_at_ = now_;
     feed(assign_primary(
         "s", expected,
         PrimaryAssignment{
             {dbs_[std::size_t(primary_)].name}, true, chance(0.5), dbs_[std::size_t(primary_)].term, false}));
-  } else if (held_ && (now_ > held_at_ + 1100 ||
-                       (now_ > held_at_ + 50 && engine_->acknowledged_sequence() == core_.last_sequence()))) {
-    held_ = false;
+  } else if (suspended_ &&
+             (now_ > suspended_at_ + 1100 ||
+              (now_ > suspended_at_ + 50 && engine_->acknowledged_sequence() == core_.last_sequence()))) {
+    suspended_ = false;
     std::uint64_t term = dbs_[std::size_t(primary_)].term + 1;
     int next = (primary_ + 1 + pick(2)) % 3;
-    primary_ = next == away_ ? 3 - next - primary_ : next;
+    primary_ = next == removed_replica_ ? 3 - next - primary_ : next;
     dbs_[std::size_t(primary_)].term = term;
     feed(assign_primary("s", expected,
                         PrimaryAssignment{{dbs_[std::size_t(primary_)].name}, false, false, term, false}));
   }
 }
 
-void SessionsWorld::calm() {
-  t_ = {};
+void SessionSimulation::stop_faults() {
+  faults_ = {};
   lapse_until_ = 0;
-  for (auto& d : dbs_) d.still_until = 0;
+  for (auto& d : dbs_) d.stalled_until = 0;
 }
 
-void SessionsWorld::check_calm() {
+void SessionSimulation::check_recovery() {
   int before = served;
   for (int i = 0; i < 1700; ++i) step();
   EXPECT_GT(served, before + 30) << "after its troubles the node serves hardly anybody";
   for (auto& c : clients_) {
     if (c.open) engine_->on_client_closed(c.session);
-    gone(c);
+    reset_client(c);
     c.next = now_ + 100000;
   }
   for (int i = 0; i < 1300; ++i) step();
   EXPECT_EQ(engine_->session_count(), 0u);
-  for (auto& [id, l] : lines_)
-    EXPECT_TRUE(!l.open || (l.owed == 0 && l.state == 'I')) << "a connection that nobody uses is not at rest";
+  for (auto& [id, l] : connections_)
+    EXPECT_TRUE(!l.open || (l.answers_owed == 0 && l.state == 'I'))
+        << "a connection that nobody uses is not at rest";
 }
 
 // --- the databases -------------------------------------------------------------------
 
-void SessionsWorld::open_connection(pooler::ConnectionId id, const Endpoint& at) {
-  auto& l = lines_[id];
+void SessionSimulation::open_connection(pooler::ConnectionId id, const Endpoint& at) {
+  auto& l = connections_[id];
   l.db = at.port - 1000;
-  l.owed = 1;
-  later(1 + pick(3), [this, id, life = life_] {
-    if (life == life_ && lines_[id].open) engine_->on_connection_up(id);
+  l.answers_owed = 1;
+  later(1 + pick(3), [this, id, life = incarnation_] {
+    if (life == incarnation_ && connections_[id].open) engine_->on_connection_up(id);
   });
 }
 
-void SessionsWorld::send_to_database(pooler::ConnectionId id, std::string bytes) {
-  auto& l = lines_[id];
+void SessionSimulation::send_to_database(pooler::ConnectionId id, std::string bytes) {
+  auto& l = connections_[id];
   EXPECT_TRUE(l.open) << "written to a connection that was closed";
   for (auto& line : split(bytes)) {
     std::string_view rest = line;
     if (sql_protocol::take(rest) == "QUERY") {
-      ++l.owed;
-      EXPECT_EQ(l.owed, 1) << "a second statement before the first is answered";
+      ++l.answers_owed;
+      EXPECT_EQ(l.answers_owed, 1) << "a second statement before the first is answered";
       std::string qid(sql_protocol::take(rest));
       if (qid != "-") {
         auto a = asked_.find(qid);
@@ -250,75 +253,76 @@
       }
     }
     Millis in = 1 + pick(2);
-    later(in, [this, id, life = life_, line] {
-      if (life != life_ || lines_[id].dark) return;
-      lines_[id].in.push_back(line);
-      db_reads(id);
+    later(in, [this, id, life = incarnation_, line] {
+      if (life != incarnation_ || connections_[id].lost) return;
+      connections_[id].in.push_back(line);
+      database_reads(id);
     });
   }
 }
 
-void SessionsWorld::close_connection(pooler::ConnectionId id, bool orderly) {
-  auto& l = lines_[id];
+void SessionSimulation::close_connection(pooler::ConnectionId id, bool orderly) {
+  auto& l = connections_[id];
   if (!l.open) return;
   l.open = false;
-  if (!orderly && chance(0.4)) {  // what was not yet read is lost with it
-    l.dark = true;
+  if (!orderly && chance(0.4)) {  // lines that the database has not read are lost
+    l.lost = true;
     return;
   }
-  later(3, [this, id, life = life_] {
-    if (life != life_ || lines_[id].dark) return;
-    lines_[id].in.push_back("CLOSE");
-    db_reads(id);
+  later(3, [this, id, life = incarnation_] {
+    if (life != incarnation_ || connections_[id].lost) return;
+    connections_[id].in.push_back("CLOSE");
+    database_reads(id);
   });
 }
 
-void SessionsWorld::reset_line(pooler::ConnectionId id) {
-  auto& l = lines_[id];
+void SessionSimulation::reset_connection(pooler::ConnectionId id) {
+  auto& l = connections_[id];
   if (!l.open) return;
   if (chance(0.5)) {
-    l.dark = true;
+    l.lost = true;
   } else {
-    later(3, [this, id, life = life_] {
-      if (life == life_ && !lines_[id].dark) lines_[id].in.push_back("CLOSE"), db_reads(id);
+    later(3, [this, id, life = incarnation_] {
+      if (life == incarnation_ && !connections_[id].lost)
+        connections_[id].in.push_back("CLOSE"), database_reads(id);
     });
   }
-  later(pick(3), [this, id, life = life_] {
-    if (life != life_ || !lines_[id].open) return;
+  later(pick(3), [this, id, life = incarnation_] {
+    if (life != incarnation_ || !connections_[id].open) return;
     engine_->on_connection_lost(id, false, false);
-    EXPECT_FALSE(lines_[id].open);
+    EXPECT_FALSE(connections_[id].open);
   });
 }
 
-void SessionsWorld::db_reads(pooler::ConnectionId id) {
-  auto& l = lines_[id];
-  Millis still = dbs_[std::size_t(l.db)].still_until;
+void SessionSimulation::database_reads(pooler::ConnectionId id) {
+  auto& l = connections_[id];
+  Millis still = dbs_[std::size_t(l.db)].stalled_until;
   if (still > now_)
-    return later(still - now_, [this, id, life = life_] {
-      if (life == life_) db_reads(id);
+    return later(still - now_, [this, id, life = incarnation_] {
+      if (life == incarnation_) database_reads(id);
     });
-  while (!l.dark && !l.in.empty()) {
+  while (!l.lost && !l.in.empty()) {
     std::string line = std::move(l.in.front());
     l.in.pop_front();
     run(id, line);
   }
 }
 
-void SessionsWorld::run(pooler::ConnectionId id, const std::string& line) {
-  auto& l = lines_[id];
+void SessionSimulation::run(pooler::ConnectionId id, const std::string& line) {
+  auto& l = connections_[id];
   std::string_view rest = line;
   auto word = sql_protocol::take(rest);
   if (word == "CONNECT") {
     EXPECT_EQ(sql_protocol::take(rest), "s");
     l.who = std::string(sql_protocol::take(rest));
-    if (!chance(t_.refuse)) return reply(id, {"IDLE I 1.1"}, "", "");
+    if (!chance(faults_.refuse)) return reply(id, {"IDLE I 1.1"}, "", "");
     return reply(id, {"STMTERR CONNLIMIT full"}, "", "");
   }
   if (word != "QUERY") {
-    l.dark = true;  // what is open is rolled back
+    l.lost = true;  // an open transaction is rolled back
     return;
   }
-  Db& d = dbs_[std::size_t(l.db)];
+  Database& d = dbs_[std::size_t(l.db)];
   const std::string qid(sql_protocol::take(rest));
   std::string code;
   bool wrote = false;
@@ -333,8 +337,8 @@
   reply(id, std::move(lines), qid, code);
 }
 
-std::string SessionsWorld::statement(Line& l, Db& d, const std::string& qid, std::string_view text,
-                                     std::string& code, bool& wrote) {
+std::string SessionSimulation::statement(DatabaseConnection& l, Database& d, const std::string& qid,
+                                         std::string_view text, std::string& code, bool& wrote) {
   const bool leads = &d == &dbs_[std::size_t(primary_)];
   if (text.starts_with("WAITFOR ")) {
     sql_protocol::take(text);
@@ -343,13 +347,13 @@
   auto st = sql_protocol::parse_statement(text);
   if (l.state == 'E' && st.verb != sql_protocol::Verb::kRollback) return code = "MALFORMED", "";
   auto back = [&] {
-    if (d.reverts) l.values = l.values_before, l.prepared = l.prepared_before;
+    if (d.rollback_reverts_values) l.values = l.values_before, l.prepared = l.prepared_before;
     l.state = 'I';
     l.writes.clear();
     l.tx = 0;
   };
   if (qid == "-") {
-    if (chance(t_.refuse)) return code = "THROTTLED", "";
+    if (chance(faults_.refuse)) return code = "THROTTLED", "";
     if (text == "RESET") l.values.clear(), l.prepared.clear();
     if (st.verb == sql_protocol::Verb::kConfigure) l.values[std::string(st.name)] = std::string(st.rest);
     if (st.verb == sql_protocol::Verb::kPrepare) l.prepared[std::string(st.name)] = std::string(st.rest);
@@ -365,7 +369,7 @@
     }
     return "COMPLETE -\r\n";
   }
-  const Asked& q = asked_.at(qid);
+  const SentStatement& q = asked_.at(qid);
   EXPECT_TRUE(q.runs) << "UNASKED: " << text;
   EXPECT_EQ(l.who, clients_[std::size_t(q.client)].tenant) << "a connection of another tenant";
   if (q.shape.empty()) {
@@ -377,7 +381,8 @@
   EXPECT_EQ(l.state == 'T', q.tx != 0) << "PINNED: outside its transaction";
   if (q.tx && l.tx == 0) l.tx = q.tx;
   EXPECT_EQ(l.tx, q.tx) << "PINNED: in another transaction";
-  if (chance(t_.refuse)) return code = chance(0.5) ? "THROTTLED" : q.write ? "EXECFAILED" : "LAGGING", "";
+  if (chance(faults_.refuse))
+    return code = chance(0.5) ? "THROTTLED" : q.write ? "EXECFAILED" : "LAGGING", "";
   if (q.write && !leads) return code = "READONLY", "";
   std::vector<std::string> rows;
   if (q.commit) {
@@ -396,7 +401,7 @@
     for (int i = pick(4); i > 0; --i) rows.push_back("r" + std::to_string(++last_run_));
   }
   wrote = q.write;
-  if (chance(t_.refuse) && !q.tx) return code = "TIMEOUT", "";  // it ran, or had begun to
+  if (chance(faults_.refuse) && !q.tx) return code = "TIMEOUT", "";  // it ran, or had begun to
   const std::string stamp = "st" + std::to_string(++last_run_);
   runs_[stamp] = {qid, rows};
   std::string body;
@@ -404,7 +409,7 @@
   return body + "COMPLETE " + stamp + "\r\n";
 }
 
-void SessionsWorld::commit(const std::vector<std::string>& writes) {
+void SessionSimulation::commit(const std::vector<std::string>& writes) {
   ++commits;
   for (auto& w : writes) {
     EXPECT_TRUE(kept_.insert(w).second) << "TWICE: " << w;
@@ -412,13 +417,13 @@
   }
 }
 
-// An answer sets out. What may befall it: it comes late or never, breaks off, comes twice, has something
-// behind it, or does not fit.
-void SessionsWorld::reply(pooler::ConnectionId id, std::vector<std::string> lines, const std::string& qid,
-                          const std::string& code) {
-  if (!lines_[id].open) return;
+// Sends an answer, with faults: it may be late, lost, truncated, duplicated, followed by other lines, or
+// invalid.
+void SessionSimulation::reply(pooler::ConnectionId id, std::vector<std::string> lines, const std::string& qid,
+                              const std::string& code) {
+  if (!connections_[id].open) return;
   std::size_t whole = lines.size();
-  if (!qid.empty() && chance(t_.misfit)) {
+  if (!qid.empty() && chance(faults_.misfit)) {
     switch (pick(4)) {
       case 0:  // the end of one answer behind the end of another
         lines.insert(lines.end() - 1, "DATAROW other");
@@ -438,41 +443,42 @@
           lines.back()[5] = lines.back()[5] == 'I' ? 'T' : 'I';
     }
     whole = lines.size();
-  } else if (chance(t_.twice)) {
+  } else if (chance(faults_.twice)) {
     auto copy = lines;
     lines.insert(lines.end(), copy.begin(), copy.end());
-  } else if (chance(t_.tail)) {
+  } else if (chance(faults_.tail)) {
     const char* tails[] = {"DATAROW r", "COMPLETE st", "STMTERR THROTTLED x", "IDLE I 1.1", "HUM", ""};
     lines.push_back(tails[pick(6)]);
-  } else if (chance(t_.torn)) {
+  } else if (chance(faults_.torn)) {
     lines.resize(std::size_t(pick(int(lines.size()))));
     deliver(id, lines, qid, "", 0);
-    return later(6, [this, id, life = life_] {
-      if (life == life_) reset_line(id);
+    return later(6, [this, id, life = incarnation_] {
+      if (life == incarnation_) reset_connection(id);
     });
   }
   deliver(id, std::move(lines), qid, code, whole);
 }
 
-void SessionsWorld::deliver(pooler::ConnectionId id, std::vector<std::string> lines, const std::string& qid,
-                            const std::string& code, std::size_t whole) {
-  auto& l = lines_[id];
-  if (chance(t_.lost)) {
+void SessionSimulation::deliver(pooler::ConnectionId id, std::vector<std::string> lines,
+                                const std::string& qid, const std::string& code, std::size_t whole) {
+  auto& l = connections_[id];
+  if (chance(faults_.lost)) {
     if (chance(0.3)) return;
     l.last_out = std::max(l.last_out, now_ + 100 + pick(2500));
   }
   l.last_out = std::max(l.last_out, now_ + 1 + pick(4));
-  // A read may end anywhere before the end of the answer; what stands behind it comes in one read with it.
+  // A read may end anywhere before the end of the answer; lines behind the answer come in the same read as
+  // its end.
   std::size_t cut = chance(0.3) && whole > 1 ? std::size_t(pick(int(whole))) : 0;
-  auto hand = [this, id, life = life_, qid, code, whole](std::vector<std::string> part, bool last) {
-    if (life != life_ || !lines_[id].open) return;
+  auto hand = [this, id, life = incarnation_, qid, code, whole](std::vector<std::string> part, bool last) {
+    if (life != incarnation_ || !connections_[id].open) return;
     if (last && whole > 0) {
-      --lines_[id].owed;
+      --connections_[id].answers_owed;
       if (says_not_run(code)) asked_[qid].not_run = true;
     }
     for (auto& line : part)
-      if (lines_[id].open) engine_->on_database_line(id, line);
-    if (lines_[id].open) engine_->on_database_read_end(id);
+      if (connections_[id].open) engine_->on_database_line(id, line);
+    if (connections_[id].open) engine_->on_database_read_end(id);
   };
   std::vector<std::string> head(lines.begin(), lines.begin() + std::ptrdiff_t(std::min(cut, lines.size())));
   lines.erase(lines.begin(), lines.begin() + std::ptrdiff_t(head.size()));
--- a/tests/pooler/session_cluster.h
+++ b/tests/pooler/session_cluster.h
@@ -1,7 +1,7 @@
-// A world around the pooler's engine in which anything may go wrong with a connection at any moment: resets
-// with bytes on their way, databases that stand still and go on, answers that come twice, break off or don't
-// fit, clients that vanish, promotes, lapsed leases, new lives of the agent and of the pooler. The books at
-// the databases and at the clients are kept apart and compared at each event.
+// A simulation around the pooler's engine with faults on connections at any moment: resets with bytes in
+// flight, databases that stall and go on, answers that are duplicated, truncated or invalid, clients that
+// disconnect, promotions, lapsed leases, restarts of the agent and of the pooler. The records of the
+// databases and of the clients are kept separately and compared at each event.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -15,7 +15,7 @@
 
 namespace pebblespindle::test {
 
-struct Troubles {  // the chances of one run, by statement, connection or ms
+struct FaultRates {  // probabilities of one run, per statement, connection or ms
   double reset = 0, stall = 0, twice = 0, tail = 0, torn = 0, misfit = 0, lost = 0, refuse = 0;
   double vanish = 0, promote = 0, lapse = 0, agent = 0, pooler = 0, stray = 0, leave = 0;
 };
@@ -27,25 +27,25 @@
   return out;
 }
 
-class SessionsWorld : public pooler::EngineCallbacks {
+class SessionSimulation : public pooler::EngineCallbacks {
  public:
-  SessionsWorld(std::uint32_t seed, Troubles t);
+  SessionSimulation(std::uint32_t seed, FaultRates t);
   void step();
-  void calm();  // no more troubles; what stands still goes on
-  void check_calm();
+  void stop_faults();  // stalled databases go on
+  void check_recovery();
   int served = 0, unknown = 0, promised_count = 0, commits = 0;
 
  private:
   using Names = std::map<std::string, std::string>;
-  struct Asked {  // a statement, from its client's sending on
+  struct SentStatement {  // a statement that a client has sent
     int client = 0, tx = 0;
     std::string text, shape;
     bool write = false, commit = false, runs = false;
     Names values;
     pooler::ConnectionId at = 0;  // the connection it was last written to
-    bool not_run = true;          // it is known to the pooler that nothing of it has run
+    bool not_run = true;          // the pooler knows that nothing of it has run
   };
-  struct Step {
+  struct SentLine {
     std::string id, text;
     bool error = false, done = false;
     std::string code, stamp;
@@ -55,15 +55,15 @@
     int index = 0, tx = 0, steps = 0;
     pooler::SessionId session = 0;
     bool open = false, failed = false;
-    std::deque<Step> asked;           // sent and not answered, in order
-    Names values, prepared;           // as acknowledged, with what is on its way behind it
+    std::deque<SentLine> asked;       // sent and not answered, in order
+    Names values, prepared;           // as the client set them, sent ones included
     std::vector<std::string> writes;  // of the open transaction
     Millis next = 0, since = 0;
     std::string tenant;
   };
-  struct Line {  // a connection, at its database
+  struct DatabaseConnection {  // a connection, at its database
     int db = 0;
-    bool open = true, dark = false;  // open: the pooler still has it; dark: its database has lost it
+    bool open = true, lost = false;  // open: the pooler still has it; dark: its database has lost it
     std::string who;
     Names values, prepared, values_before, prepared_before;
     char state = 'I';
@@ -71,13 +71,13 @@
     std::vector<std::string> writes;
     std::deque<std::string> in;  // not yet read by the database
     Millis last_out = 0;
-    int owed = 0;  // answers that the pooler has not heard in whole
+    int answers_owed = 0;  // answers that the pooler has not received in full
   };
-  struct Db {
+  struct Database {
     std::string name;
-    Millis still_until = 0;
+    Millis stalled_until = 0;
     std::uint64_t term = 1;
-    bool reverts = false;  // a rollback takes back what was set and prepared inside
+    bool rollback_reverts_values = false;  // a rollback undoes the values and names set in it
   };
   struct Event {
     Millis at;
@@ -88,29 +88,29 @@
 
   int pick(int n) { return int(rng_() % std::uint32_t(n)); }
   bool chance(double p) { return p > 0 && double(rng_()) < p * 4294967296.0; }
-  void later(Millis in, std::function<void()> fn) { events_.push({now_ + in, ++order_, std::move(fn)}); }
+  void later(Millis in, std::function<void()> fn) { events_.push({now_ + in, ++last_event_, std::move(fn)}); }
 
   void start_pooler();
   void feed(const Json& update);
-  void feed_hold();
+  void feed_engine();
   void grant();
   Instance instance(int db) const;
   void promote();
-  void reset_line(pooler::ConnectionId id);
-  void db_reads(pooler::ConnectionId id);
+  void reset_connection(pooler::ConnectionId id);
+  void database_reads(pooler::ConnectionId id);
   void run(pooler::ConnectionId id, const std::string& line);
-  std::string statement(Line& l, Db& d, const std::string& id, std::string_view text, std::string& code,
-                        bool& wrote);
+  std::string statement(DatabaseConnection& l, Database& d, const std::string& id, std::string_view text,
+                        std::string& code, bool& wrote);
   void reply(pooler::ConnectionId id, std::vector<std::string> lines, const std::string& qid,
              const std::string& code);
   void deliver(pooler::ConnectionId id, std::vector<std::string> lines, const std::string& qid,
                const std::string& code, std::size_t whole);
   void commit(const std::vector<std::string>& writes);
   void act(Client& c);
-  void say(Client& c, const std::string& text, bool write = false, const std::string& shape = {});
-  void hear(Client& c, std::string_view line);
-  void ended(Client& c, const Step& s, char state);
-  void gone(Client& c);
+  void send_statement(Client& c, const std::string& text, bool write = false, const std::string& shape = {});
+  void receive(Client& c, std::string_view line);
+  void check_answer(Client& c, const SentLine& s, char state);
+  void reset_client(Client& c);
 
   // pooler::Port
   void send_to_client(pooler::SessionId, std::string) override;
@@ -126,23 +126,23 @@
   void report_recovered(const InstanceId&) override {}
 
   std::mt19937 rng_;
-  Troubles t_;
+  FaultRates faults_;
   Millis now_ = 1000;
-  std::uint64_t order_ = 0;
+  std::uint64_t last_event_ = 0;
   std::priority_queue<Event> events_;
   std::unique_ptr<TimerQueue> timers_;
   std::unique_ptr<pooler::Engine> engine_;
   StateTable core_;
-  StateCache hold_;
-  std::vector<Db> dbs_;
-  int primary_ = 0, away_ = -1;  // away: a replica that has left for a while
-  bool held_ = false, ending_ = false;
-  std::map<std::string, quota::Rights> given_;  // to this life of the pooler
-  Millis held_at_ = 0, lapse_until_ = 0;
+  StateCache agent_cache_;
+  std::vector<Database> dbs_;
+  int primary_ = 0, removed_replica_ = -1;  // away: a replica that has left for a while
+  bool suspended_ = false, shutting_down_ = false;
+  std::map<std::string, quota::Rights> granted_quota_;  // to this life of the pooler
+  Millis suspended_at_ = 0, lapse_until_ = 0;
   std::vector<Client> clients_;
-  std::map<pooler::ConnectionId, Line> lines_;  // of this life of the pooler
-  std::uint64_t life_ = 0;
-  std::map<std::string, Asked> asked_;
+  std::map<pooler::ConnectionId, DatabaseConnection> connections_;  // of this life of the pooler
+  std::uint64_t incarnation_ = 0;
+  std::map<std::string, SentStatement> asked_;
   std::map<std::string, std::pair<std::string, std::vector<std::string>>> runs_;  // by stamp: id and rows
   std::set<std::string> kept_, promised_;
   pooler::SessionId last_session_ = 0;
--- a/tests/pooler/session_simulation_test.cc
+++ b/tests/pooler/session_simulation_test.cc
@@ -1,4 +1,5 @@
-// Answers to their own callers, writes at most once, promises that are true: seeded runs of the real engine.
+// Seeded runs of the real engine: answers reach their own callers, writes run at most once, and nothing that
+// was refused with a promise is kept.
 #include <cstdlib>
 
 #include "pooler/session_cluster.h"
@@ -7,24 +8,24 @@
 
 // --- the clients ---------------------------------------------------------------------
 
-void SessionsWorld::send_to_client(pooler::SessionId id, std::string bytes) {
-  later(1, [this, id, life = life_, bytes = std::move(bytes)] {
-    if (life != life_) return;
+void SessionSimulation::send_to_client(pooler::SessionId id, std::string bytes) {
+  later(1, [this, id, life = incarnation_, bytes = std::move(bytes)] {
+    if (life != incarnation_) return;
     for (auto& c : clients_)
       if (c.open && c.session == id)
-        for (auto& line : split(bytes)) hear(c, line);
+        for (auto& line : split(bytes)) receive(c, line);
   });
 }
 
-void SessionsWorld::close_client(pooler::SessionId id) {
-  later(1, [this, id, life = life_] {
-    if (life != life_) return;
+void SessionSimulation::close_client(pooler::SessionId id) {
+  later(1, [this, id, life = incarnation_] {
+    if (life != incarnation_) return;
     for (auto& c : clients_)
-      if (c.open && c.session == id) gone(c);
+      if (c.open && c.session == id) reset_client(c);
   });
 }
 
-void SessionsWorld::gone(Client& c) {
+void SessionSimulation::reset_client(Client& c) {
   c.open = c.failed = false;
   c.tx = 0;
   c.asked.clear();
@@ -34,7 +35,7 @@
   c.next = now_ + 5 + pick(60);
 }
 
-void SessionsWorld::act(Client& c) {
+void SessionSimulation::act(Client& c) {
   if (!c.open) {
     if (now_ < c.next) return;
     c.session = ++last_session_;
@@ -46,9 +47,9 @@
         c.session, std::string("CONNECT ") + (c.index % 2 ? "primary k" : "bounded k") + c.tenant[0]);
     return;
   }
-  if (chance(t_.vanish)) {
+  if (chance(faults_.vanish)) {
     engine_->on_client_closed(c.session);
-    return gone(c);
+    return reset_client(c);
   }
   if (!c.asked.empty()) {
     EXPECT_LT(now_, c.since + 2500) << "held for ever: " << c.asked.front().text << " of client " << c.index;
@@ -56,51 +57,57 @@
   }
   if (now_ < c.next) return;
   auto thing = [&] { return "t" + std::to_string(pick(4)); };
-  if (c.failed) return say(c, chance(0.7) ? "ROLLBACK" : "COMMIT");
+  if (c.failed) return send_statement(c, chance(0.7) ? "ROLLBACK" : "COMMIT");
   if (c.tx) {
-    if (++c.steps > 3) return say(c, chance(0.3) ? "ROLLBACK" : "COMMIT");
-    if (chance(0.15)) return say(c, "CONFIGURE v" + std::to_string(pick(2)) + " x" + std::to_string(pick(3)));
-    return chance(0.5) ? say(c, "STORE " + thing() + " d", true) : say(c, "FETCH " + thing());
+    if (++c.steps > 3) return send_statement(c, chance(0.3) ? "ROLLBACK" : "COMMIT");
+    if (chance(0.15))
+      return send_statement(c, "CONFIGURE v" + std::to_string(pick(2)) + " x" + std::to_string(pick(3)));
+    return chance(0.5) ? send_statement(c, "STORE " + thing() + " d", true)
+                       : send_statement(c, "FETCH " + thing());
   }
   switch (pick(8)) {
     case 0:
-      say(c, "CONFIGURE v" + std::to_string(pick(2)) + " x" + std::to_string(pick(3)));
+      send_statement(c, "CONFIGURE v" + std::to_string(pick(2)) + " x" + std::to_string(pick(3)));
       break;
     case 1:
-      say(c, "PREPARE n" + std::to_string(pick(2)) + (chance(0.5) ? " FETCH q" : " STORE w") +
-                 std::to_string(pick(3)));
+      send_statement(c, "PREPARE n" + std::to_string(pick(2)) + (chance(0.5) ? " FETCH q" : " STORE w") +
+                            std::to_string(pick(3)));
       break;
     case 2:
-      say(c, "BEGIN");
+      send_statement(c, "BEGIN");
       break;
     case 3:  // a whole transaction at once
-      say(c, "BEGIN");
+      send_statement(c, "BEGIN");
       for (int i = 1 + pick(3); i > 0; --i)
-        chance(0.6) ? say(c, "STORE " + thing() + " d", true) : say(c, "FETCH " + thing());
-      say(c, chance(0.2) ? "ROLLBACK" : "COMMIT");
+        chance(0.6) ? send_statement(c, "STORE " + thing() + " d", true)
+                    : send_statement(c, "FETCH " + thing());
+      send_statement(c, chance(0.2) ? "ROLLBACK" : "COMMIT");
       break;
     case 4:
       if (!c.prepared.empty()) {
         auto it = std::next(c.prepared.begin(), pick(int(c.prepared.size())));
-        say(c, "EXECUTE " + it->first + " " + thing() + " d", it->second.starts_with("STORE"), it->second);
+        send_statement(c, "EXECUTE " + it->first + " " + thing() + " d", it->second.starts_with("STORE"),
+                       it->second);
         break;
       }
       [[fallthrough]];
     default:
       for (int i = chance(0.3) ? 1 + pick(5) : 1; i > 0; --i)
-        chance(0.5) ? say(c, "STORE " + thing() + " d", true) : say(c, "FETCH " + thing());
+        chance(0.5) ? send_statement(c, "STORE " + thing() + " d", true)
+                    : send_statement(c, "FETCH " + thing());
   }
 }
 
-void SessionsWorld::say(Client& c, const std::string& text, bool write, const std::string& shape) {
-  if (!c.open) return;  // what was sent just before has ended it
+void SessionSimulation::send_statement(Client& c, const std::string& text, bool write,
+                                       const std::string& shape) {
+  if (!c.open) return;  // the line sent just before has ended the session
   auto st = sql_protocol::parse_statement(text);
   if (st.verb == sql_protocol::Verb::kBegin) c.tx = ++last_tx_, c.steps = 0, c.writes.clear();
   // Outside of a transaction these cannot fail, and hold for what is sent behind them.
   if (st.verb == sql_protocol::Verb::kConfigure && !c.tx)
     c.values[std::string(st.name)] = std::string(st.rest);
   if (st.verb == sql_protocol::Verb::kPrepare) c.prepared[std::string(st.name)] = std::string(st.rest);
-  Asked a;
+  SentStatement a;
   a.client = c.index;
   a.tx = c.tx;
   a.text = text;
@@ -118,12 +125,12 @@
   engine_->on_client_line(c.session, "QUERY " + id + " " + text);
 }
 
-void SessionsWorld::hear(Client& c, std::string_view line) {
+void SessionSimulation::receive(Client& c, std::string_view line) {
   if (c.asked.empty()) {
     ADD_FAILURE() << "an answer to nothing: " << line;
     return;
   }
-  Step& s = c.asked.front();
+  SentLine& s = c.asked.front();
   auto word = sql_protocol::take(line);
   EXPECT_FALSE(word != "IDLE" && (s.done || s.error)) << "an answer goes on after its outcome";
   if (word == "DATAROW") {
@@ -136,17 +143,17 @@
     s.code = std::string(sql_protocol::take(line));
   } else {
     EXPECT_EQ(word, "IDLE");
-    Step ended_step = std::move(s);
+    SentLine ended_step = std::move(s);
     c.asked.pop_front();
     c.since = now_;
-    if (c.asked.empty()) c.next = now_ + (chance(0.05) ? 350 : pick(25));  // some rest for too long
-    ended(c, ended_step, line.empty() ? '?' : line[0]);
+    if (c.asked.empty()) c.next = now_ + (chance(0.05) ? 350 : pick(25));  // some stay idle for too long
+    check_answer(c, ended_step, line.empty() ? '?' : line[0]);
   }
 }
 
-void SessionsWorld::ended(Client& c, const Step& s, char state) {
+void SessionSimulation::check_answer(Client& c, const SentLine& s, char state) {
   if (s.id == "connect") return;
-  const Asked& a = asked_.at(s.id);
+  const SentStatement& a = asked_.at(s.id);
   auto st = sql_protocol::parse_statement(a.text);
   EXPECT_TRUE(s.done || s.error);
   if (s.done) {
@@ -188,10 +195,10 @@
 
 namespace {
 
-// What may go wrong is drawn with the seed, so that some runs are calm but for one trouble.
-Troubles drawn(std::uint32_t seed) {
+// The faults are drawn by the seed, so that some runs have only a few kinds of them.
+FaultRates random_faults(std::uint32_t seed) {
   std::mt19937 rng(seed * 7919 + 1);
-  Troubles t;
+  FaultRates t;
   double* all[] = {&t.reset,  &t.stall,   &t.twice, &t.tail,  &t.torn,   &t.misfit, &t.lost, &t.refuse,
                    &t.vanish, &t.promote, &t.lapse, &t.agent, &t.pooler, &t.stray,  &t.leave};
   const double most[] = {0.02,  0.003, 0.02,   0.02,  0.02,   0.02, 0.02, 0.03,
@@ -201,16 +208,16 @@
   return t;
 }
 
-struct Sum {
+struct Totals {
   long served = 0, unknown = 0, promised = 0, commits = 0;
 };
 
-void play(std::uint32_t seed, Sum& sum) {
+void play(std::uint32_t seed, Totals& sum) {
   SCOPED_TRACE("seed " + std::to_string(seed));
-  SessionsWorld w(seed, drawn(seed));
+  SessionSimulation w(seed, random_faults(seed));
   for (int i = 0; i < 1500 && !testing::Test::HasFailure(); ++i) w.step();
-  w.calm();
-  if (!testing::Test::HasFailure()) w.check_calm();
+  w.stop_faults();
+  if (!testing::Test::HasFailure()) w.check_recovery();
   sum.served += w.served;
   sum.unknown += w.unknown;
   sum.promised += w.promised_count;
@@ -226,7 +233,7 @@
   };
   const std::uint32_t from = asked("PEBBLESPINDLE_FROM", 1),
                       to = from + asked("PEBBLESPINDLE_SEEDS", 500) - 1;
-  Sum sum;
+  Totals sum;
   for (std::uint32_t seed = from; seed <= to && !HasFailure(); ++seed) play(seed, sum);
   RecordProperty("served", std::to_string(sum.served));
   std::cout << "served " << sum.served << ", commits " << sum.commits << ", promises " << sum.promised
