--- a/tests/config/command_simulation_test.cc
+++ b/tests/config/command_simulation_test.cc
@@ -1,5 +1,5 @@
-// Days drawn from a seed: operators that race, repeat themselves and lose answers, while cores are killed,
-// cut off, emptied and started again.
+// Randomized simulation: operators submit competing changes, repeat them and lose answers, while controllers
+// are killed, partitioned, wiped and restarted.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -8,199 +8,212 @@
 #include "config/command_cluster.h"
 #include "replication/timing.h"
 
-namespace pebblespindle::test::orders {
+namespace pebblespindle::test::config_commands {
 namespace {
 
-// Offers one order, each time as it was and at any core, until it hears a clear answer or gives up.
-struct Caller {
+// Submits one change again and again, to any controller, until it receives a final answer or gives up.
+struct Operator {
   std::size_t id = 0;
-  bool open = false, hard = false;  // hard of hearing: many answers are lost on their way to it
+  bool open = false, lossy = false;  // lossy: most answers to it are lost
   Millis next = 0;
   int tries = 0;
 };
 
-class Day {
+class Simulation {
  public:
-  explicit Day(std::uint32_t seed)
-      : p_(seed,
-           seed % 3 == 0   ? 5
-           : seed % 3 == 1 ? 4
-                           : 3,
-           seed % 3 == 0 ? 2 : 1) {
-    p_.net.loss_rate = seed % 5 == 0 ? 0.01 : 0;
+  explicit Simulation(std::uint32_t seed)
+      : cluster_(seed,
+                 seed % 3 == 0   ? 5
+                 : seed % 3 == 1 ? 4
+                                 : 3,
+                 seed % 3 == 0 ? 2 : 1) {
+    cluster_.net.loss_rate = seed % 5 == 0 ? 0.01 : 0;
   }
   void run(int steps) {
-    ASSERT_NO_FATAL_FAILURE(p_.run(400));
+    ASSERT_NO_FATAL_FAILURE(cluster_.run(400));
     for (int step = 0; step < steps; ++step) {
-      for (auto& c : callers_) call(c);
-      if (p_.orders.size() && chance(0.3)) recall();
-      trouble();
-      ASSERT_NO_FATAL_FAILURE(p_.run(10 + p_.net.pick(chance(0.03) ? 400 : 30)));
+      for (auto& op : operators_) advance(op);
+      if (cluster_.requests.size() && chance(0.3)) resubmit_any();
+      inject_fault();
+      ASSERT_NO_FATAL_FAILURE(cluster_.run(10 + cluster_.net.pick(chance(0.03) ? 400 : 30)));
     }
-    ASSERT_NO_FATAL_FAILURE(calm());
+    ASSERT_NO_FATAL_FAILURE(recover_and_check());
   }
-  std::size_t changes() const { return p_.history.size(); }
+  std::size_t changes() const { return cluster_.history.size(); }
 
  private:
-  bool chance(double c) { return p_.net.chance(c); }
-  const std::string& any() { return p_.hosts[std::size_t(p_.net.pick(int(p_.hosts.size())))]; }
+  bool chance(double probability) { return cluster_.net.chance(probability); }
+  const std::string& any() {
+    return cluster_.hosts[std::size_t(cluster_.net.pick(int(cluster_.hosts.size())))];
+  }
 
-  void call(Caller& c) {
-    if (!c.open) {
+  void advance(Operator& op) {
+    if (!op.open) {
       if (!chance(0.5)) return;
-      c = {draw(), true, chance(0.2), 0, 0};
+      op = {add_request(), true, chance(0.2), 0, 0};
     }
-    if (p_.net.now < c.next) return;
-    if (++c.tries > 12) return void(c.open = false);  // it gives up: its order may come back all the same
-    c.next = p_.net.now + 30 + p_.net.pick(chance(0.2) ? 1500 : 300);
-    for (int n = chance(0.1) ? 2 : 1; n > 0; --n)  // at times at two cores at once
-      p_.offer(c.id, any(), [this, &c, id = c.id](int status) {
-        if (chance(c.hard ? 0.8 : 0.2) || c.id != id || !c.open || status == 0 || status == 503) return;
-        c.open = false;
+    if (cluster_.net.now < op.next) return;
+    if (++op.tries > 12) return void(op.open = false);  // it gives up, but the change may still be applied
+    op.next = cluster_.net.now + 30 + cluster_.net.pick(chance(0.2) ? 1500 : 300);
+    for (int n = chance(0.1) ? 2 : 1; n > 0; --n)  // sometimes to two controllers at once
+      cluster_.submit(op.id, any(), [this, &op, id = op.id](int status) {
+        if (chance(op.lossy ? 0.8 : 0.2) || op.id != id || !op.open || status == 0 || status == 503) return;
+        op.open = false;
       });
   }
 
-  std::size_t draw() {
-    Order o;
-    o.base = p_.newest;
-    if (chance(0.1) && !p_.orders.empty())  // on any version that was ever named, also one on its way
-      o.base = p_.orders[std::size_t(p_.net.pick(int(p_.orders.size())))].revision;
-    o.patch = o.base > 0 && chance(0.4);
-    o.revision = o.base + 1 + std::uint64_t(p_.net.pick(3));
-    if (chance(0.04)) o.revision = o.base;  // not above
-    if (o.revision == 0) o.revision = 1;
-    const std::uint64_t salt = 1 + p_.orders.size();
-    o.body = o.patch ? change(o.revision, salt) : whole(o.revision, salt);
-    if (chance(0.04)) o.sound = false, o.body.pop_back();
-    return p_.draw(o);
+  std::size_t add_request() {
+    ChangeRequest request;
+    request.base_revision = cluster_.newest_acknowledged;
+    if (chance(0.1) &&
+        !cluster_.requests
+             .empty())  // on any revision that was ever submitted, also one that is not committed yet
+      request.base_revision =
+          cluster_.requests[std::size_t(cluster_.net.pick(int(cluster_.requests.size())))].revision;
+    request.patch = request.base_revision > 0 && chance(0.4);
+    request.revision = request.base_revision + 1 + std::uint64_t(cluster_.net.pick(3));
+    if (chance(0.04)) request.revision = request.base_revision;  // not above its base
+    if (request.revision == 0) request.revision = 1;
+    const std::uint64_t salt = 1 + cluster_.requests.size();
+    request.body =
+        request.patch ? patch_body(request.revision, salt) : full_configuration(request.revision, salt);
+    if (chance(0.04)) request.valid = false, request.body.pop_back();
+    return cluster_.add(request);
   }
 
-  // Any order of the day is offered again, lately or long ago, taken, refused or never answered.
-  void recall() {
-    const int n = int(p_.orders.size());
-    p_.offer(std::size_t(chance(0.5) ? p_.net.pick(n) : n - 1 - p_.net.pick(std::min(n, 10))), any());
+  // Submits any earlier change again: recent or old, applied, refused or never answered.
+  void resubmit_any() {
+    const int count = int(cluster_.requests.size());
+    cluster_.submit(std::size_t(chance(0.5) ? cluster_.net.pick(count)
+                                            : count - 1 - cluster_.net.pick(std::min(count, 10))),
+                    any());
   }
 
-  void trouble() {
-    Millis now = p_.net.now;
-    if (healed_ && now >= healed_) p_.net.blocked_links.clear(), healed_ = 0;
-    for (auto& [host, at] : back_)
-      if (now >= at && !p_.up(host)) p_.start(host);
+  void inject_fault() {
+    Millis now = cluster_.net.now;
+    if (partition_ends_at_ && now >= partition_ends_at_)
+      cluster_.net.blocked_links.clear(), partition_ends_at_ = 0;
+    for (auto& [host, at] : restart_at_)
+      if (now >= at && !cluster_.up(host)) cluster_.start(host);
     const std::string host = any();
-    switch (p_.net.pick(250)) {
+    switch (cluster_.net.pick(250)) {
       case 0:
       case 1:
-      case 2:  // one is killed, and is back at once or is put out
-        if (p_.up(host)) {
-          p_.kill(host);
-          back_[host] = now + (chance(0.5) ? p_.net.pick(300) : 1200 + p_.net.pick(2000));
+      case 2:  // one is killed, and restarts either soon or after it was excluded from the view
+        if (cluster_.up(host)) {
+          cluster_.kill(host);
+          restart_at_[host] = now + (chance(0.5) ? cluster_.net.pick(300) : 1200 + cluster_.net.pick(2000));
         }
         break;
-      case 3: {  // the head alone, right now
-        const std::string head = head_of(p_);
-        if (!head.empty()) p_.kill(head), back_[head] = now + (chance(0.5) ? 0 : 2500);
+      case 3: {  // the head of the chain is killed
+        const std::string head = head_of(cluster_);
+        if (!head.empty()) cluster_.kill(head), restart_at_[head] = now + (chance(0.5) ? 0 : 2500);
         break;
       }
-      case 4:  // all at once
+      case 4:  // all are killed at once
         if (chance(0.3))
-          for (auto& h : p_.hosts)
-            if (p_.up(h)) p_.kill(h), back_[h] = now + p_.net.pick(400);
+          for (auto& name : cluster_.hosts)
+            if (cluster_.up(name)) cluster_.kill(name), restart_at_[name] = now + cluster_.net.pick(400);
         break;
-      case 5:  // one loses its disk, while nothing else is amiss
-        if (whole_for(5000) && now >= wiped_ + 6000) {
-          wiped_ = now;
-          p_.kill(host, true);
-          back_[host] = now + p_.net.pick(3000);
+      case 5:  // one loses its disk while there is no other fault
+        if (healthy_for(5000) && now >= wiped_at_ + 6000) {
+          wiped_at_ = now;
+          cluster_.kill(host, true);
+          restart_at_[host] = now + cluster_.net.pick(3000);
         }
         break;
       case 6:
       case 7:
-      case 8:  // cut off, both ways or one
-        if (healed_) break;
-        for (auto& other : p_.hosts)
+      case 8:  // partitioned from the others, in both directions or in one
+        if (partition_ends_at_) break;
+        for (auto& other : cluster_.hosts)
           if (other != host) {
-            if (!chance(0.2)) p_.net.blocked_links.insert({host, other});
-            if (!chance(0.2)) p_.net.blocked_links.insert({other, host});
+            if (!chance(0.2)) cluster_.net.blocked_links.insert({host, other});
+            if (!chance(0.2)) cluster_.net.blocked_links.insert({other, host});
           }
-        healed_ = now + 100 + p_.net.pick(chance(0.5) ? 500 : 3000);
+        partition_ends_at_ = now + 100 + cluster_.net.pick(chance(0.5) ? 500 : 3000);
         break;
       default:
         break;
     }
-    bool calm = !healed_;
-    for (auto& h : p_.hosts) calm = calm && p_.up(h) && p_.at(h).in_sync();
-    if (!calm) troubled_ = now;
+    bool healthy = !partition_ends_at_;
+    for (auto& name : cluster_.hosts) healthy = healthy && cluster_.up(name) && cluster_.at(name).in_sync();
+    if (!healthy) faulty_at_ = now;
   }
   bool settled() {
-    std::size_t seated = 0;
-    for (auto& h : p_.hosts) seated += p_.at(h).holds_lease(p_.net.now);
-    return seated >= 2 * p_.losses + 1 && !head_of(p_).empty();
+    std::size_t members = 0;
+    for (auto& name : cluster_.hosts) members += cluster_.at(name).holds_lease(cluster_.net.now);
+    return members >= 2 * cluster_.losses + 1 && !head_of(cluster_).empty();
   }
-  bool whole_for(Millis ms) const { return p_.net.now >= troubled_ + ms; }
+  bool healthy_for(Millis ms) const { return cluster_.net.now >= faulty_at_ + ms; }
 
-  // All is well again: every order gets its clear answer, at any core, and the same as ever.
-  void calm() {
-    p_.net.blocked_links.clear();
-    p_.net.loss_rate = 0;
-    for (auto& h : p_.hosts)
-      if (!p_.up(h)) p_.start(h);
-    for (int step = 0, still = 0; step < 100 && still < 3; ++step) {
-      ASSERT_NO_FATAL_FAILURE(p_.run(100));
-      still = settled() ? still + 1 : 0;
+  // Ends all faults and submits every change again: each one gets a final answer from any controller, and it
+  // agrees with all earlier answers.
+  void recover_and_check() {
+    cluster_.net.blocked_links.clear();
+    cluster_.net.loss_rate = 0;
+    for (auto& name : cluster_.hosts)
+      if (!cluster_.up(name)) cluster_.start(name);
+    for (int step = 0, settled_rounds = 0; step < 100 && settled_rounds < 3; ++step) {
+      ASSERT_NO_FATAL_FAILURE(cluster_.run(100));
+      settled_rounds = settled() ? settled_rounds + 1 : 0;
     }
-    ASSERT_TRUE(settled()) << "ten seconds of calm";
-    std::vector<int> heard(p_.orders.size(), 0);
-    auto newest = [&] { return p_.history.empty() ? 0 : p_.history.back().revision; };
-    // The orders offered now may bring about the version that another one waited for.
+    ASSERT_TRUE(settled()) << "not settled after ten seconds without faults";
+    std::vector<int> statuses(cluster_.requests.size(), 0);
+    auto newest = [&] { return cluster_.history.empty() ? 0 : cluster_.history.back().revision; };
+    // A change that is submitted now may produce the base revision of another one.
     auto open = [&](std::size_t id) {
-      return heard[id] == 0 || (heard[id] == 503 && p_.orders[id].base <= newest());
+      return statuses[id] == 0 || (statuses[id] == 503 && cluster_.requests[id].base_revision <= newest());
     };
     for (int round = 0; round < 20; ++round) {
       bool any_open = false;
-      for (std::size_t id = 0; id < heard.size(); ++id) {
+      for (std::size_t id = 0; id < statuses.size(); ++id) {
         if (!open(id)) continue;
         any_open = true;
-        heard[id] = 0;
-        p_.offer(id, any(), [&heard, id](int status) { heard[id] = status; });
+        statuses[id] = 0;
+        cluster_.submit(id, any(), [&statuses, id](int status) { statuses[id] = status; });
       }
       if (!any_open) break;
-      for (int n = 0; n < 12 && std::count(heard.begin(), heard.end(), 0); ++n)
-        ASSERT_NO_FATAL_FAILURE(p_.run(replication::kSubmitTimeoutMs / 10));
+      for (int n = 0; n < 12 && std::count(statuses.begin(), statuses.end(), 0); ++n)
+        ASSERT_NO_FATAL_FAILURE(cluster_.run(replication::kSubmitTimeoutMs / 10));
     }
     const std::uint64_t current = newest();
-    for (std::size_t id = 0; id < heard.size(); ++id) {
-      auto& o = p_.orders[id];
-      if (heard[id] == 503 && o.base > current) continue;  // on a version that never came
-      ASSERT_EQ(heard[id] == 200, o.in_force) << heard[id] << " for " << p_.tell(id);
-      ASSERT_TRUE(heard[id] == 200 || heard[id] == 412 || heard[id] == 400)
-          << heard[id] << " for " << p_.tell(id);
+    for (std::size_t id = 0; id < statuses.size(); ++id) {
+      auto& request = cluster_.requests[id];
+      if (statuses[id] == 503 && request.base_revision > current)
+        continue;  // its base revision was never produced
+      ASSERT_EQ(statuses[id] == 200, request.applied) << statuses[id] << " for " << cluster_.describe(id);
+      ASSERT_TRUE(statuses[id] == 200 || statuses[id] == 412 || statuses[id] == 400)
+          << statuses[id] << " for " << cluster_.describe(id);
     }
   }
 
-  Port p_;
-  Caller callers_[8];
-  std::map<std::string, Millis> back_;
-  Millis healed_ = 0, troubled_ = 0, wiped_ = -10000;
+  ControllerCluster cluster_;
+  Operator operators_[8];
+  std::map<std::string, Millis> restart_at_;
+  Millis partition_ends_at_ = 0, faulty_at_ = 0, wiped_at_ = -10000;
 };
 
-// PEBBLESPINDLE_SEEDS asks for a longer run, PEBBLESPINDLE_FIRST_SEED says where it begins.
+// The environment variables PEBBLESPINDLE_SEEDS and PEBBLESPINDLE_FIRST_SEED set the number of seeds and the
+// first one.
 TEST(ConfigurationCommands, OneSuccessorToEachVersionWhateverHappens) {
-  auto asked = [](const char* name, int fallback) {
+  auto environment_number = [](const char* name, int fallback) {
     const char* text = std::getenv(name);
     return text ? std::atoi(text) : fallback;
   };
-  const int seeds = asked("PEBBLESPINDLE_SEEDS", 500), first = asked("PEBBLESPINDLE_FIRST_SEED", 1);
+  const int seeds = environment_number("PEBBLESPINDLE_SEEDS", 500),
+            first = environment_number("PEBBLESPINDLE_FIRST_SEED", 1);
   std::size_t changes = 0;
   for (int seed = first; seed < first + seeds; ++seed) {
     SCOPED_TRACE(seed);
-    Day day{std::uint32_t(seed)};
-    day.run(seed % 100 ? 120 : 1500);  // and now and then a long one, with hundreds of changes
+    Simulation simulation{std::uint32_t(seed)};
+    simulation.run(seed % 100 ? 120 : 1500);  // every 100th run is long, with hundreds of changes
     if (HasFatalFailure()) return;
-    changes += day.changes();
+    changes += simulation.changes();
   }
-  std::printf("%d days, %zu changes taken\n", seeds, changes);
-  EXPECT_GT(changes, std::size_t(seeds) * 10) << "days without changes show nothing";
+  std::printf("%d runs, %zu changes applied\n", seeds, changes);
+  EXPECT_GT(changes, std::size_t(seeds) * 10) << "runs with hardly any applied change test nothing";
 }
 
 }  // namespace
-}  // namespace pebblespindle::test::orders
+}  // namespace pebblespindle::test::config_commands
