--- a/tests/config/configuration_reader_test.cc
+++ b/tests/config/configuration_reader_test.cc
@@ -24,16 +24,16 @@
    "WeightedTargets":[{"TargetService":"s","Weight":90},{"TargetService":"t","Weight":10}]}],
   "Services":[{"Name":"s"},{"Name":"t"}],"Limits":{"MaxHeaderBytes":16384,"IdleTimeoutMs":15000}})";
 
-// Each case of the page, of both kinds of deployment; the first field says where the change is made.
+// Each case replaces one part of a valid configuration and has to be refused.
 TEST(ConfigurationReader, EveryInvalidCaseIsRefused) {
   ASSERT_TRUE(read_configuration(kConfig)) << read_configuration(kConfig).status().message();
   ASSERT_TRUE(read_configuration(kMeshConfig)) << read_configuration(kMeshConfig).status().message();
   struct Case {
-    const std::string& good;
+    const std::string& valid;
     const char *from, *to;
   };
-  for (auto& c : std::initializer_list<Case>{
-           {kConfig, R"("Services":[{"Name":"s"}]})", R"("Services":[{"Na)"},  // cut short
+  for (auto& test_case : std::initializer_list<Case>{
+           {kConfig, R"("Services":[{"Name":"s"}]})", R"("Services":[{"Na)"},  // truncated
            {kConfig, R"("TargetService":"s")", R"("TargetService":"t")"},
            {kConfig, R"("TargetService":"s")", R"("MaxAttempts":1)"},  // no service at all
            {kConfig, "1000", "0"},
@@ -47,31 +47,33 @@
            {kConfig, R"("RouteType":"primary")", R"("RouteType":"other")"},
            {kConfig, R"([{"Name":"s"}])", R"([{"Name":"s"},{"Name":"s"}])"},
            {kConfig, R"([{"Name":"s"}])", R"({"Name":"s"})"},
-           {kMeshConfig, "/x/y/", "/x/"},      // the same place
+           {kMeshConfig, "/x/y/", "/x/"},      // the same host and path
            {kMeshConfig, R"("b")", R"("a")"},  // the same name
            {kMeshConfig, R"("t","W)", R"("u","W)"},
            {kMeshConfig, "90", "-1"},
            {kMeshConfig, "Weight\":90},{\"TargetService\":\"t\",\"Weight\":10", "Weight\":0"},  // sum 0
            {kMeshConfig, "15000", R"("15 s")"}})
-    EXPECT_FALSE(read_configuration(changed(c.good, c.from, c.to))) << c.from << " -> " << c.to;
+    EXPECT_FALSE(read_configuration(changed(test_case.valid, test_case.from, test_case.to)))
+        << test_case.from << " -> " << test_case.to;
   EXPECT_EQ(read_configuration(changed(kConfig, "1000", "0.4"))->routes.begin()->second.timeout_ms, 1);
 }
 
-// PATCH names items; what it leaves out stays. Judged against the base it names, in one history with PUT.
+// A patch replaces and removes items by name and leaves all others as they are. It is validated against its
+// base revision, as a full configuration is.
 TEST(ConfigurationReader, AChangeOfNamedItemsIsMergedAndJudgedAsAWhole) {
   StateTable state;
-  auto put = [&](const Json& u) {
-    auto v = validate_command(state, u);
-    std::uint64_t n = state.last_sequence() + 1;
-    for (auto& r : v.rows) r.sequence = n, state.put(r);
-    return answer_code(v.status);
+  auto put = [&](const Json& command) {
+    auto result = validate_command(state, command);
+    std::uint64_t sequence = state.last_sequence() + 1;
+    for (auto& row : result.rows) row.sequence = sequence, state.put(row);
+    return answer_code(result.status);
   };
   const std::string first = R"({"Revision":5,"Upsert":{"Routes":[{"Name":"c","Hostname":"h.example",
     "PathPrefix":"/z/","RouteType":"idempotent","TimeoutMs":10,"TargetService":"t"}]},"Remove":{"Routes":["a"]}})";
-  EXPECT_EQ(put(patch_configuration(0, first)), 412) << "there is nothing yet";
+  EXPECT_EQ(put(patch_configuration(0, first)), 412) << "there is no configuration yet";
   EXPECT_EQ(put(put_configuration(0, kMeshConfig)), 200);
   EXPECT_EQ(put(patch_configuration(3, first)), 200);
-  EXPECT_EQ(put(patch_configuration(3, first)), 200) << "offered again: taken";
+  EXPECT_EQ(put(patch_configuration(3, first)), 200) << "submitted again: already applied";
   ClusterState cluster;
   cluster.update_from(state);
   EXPECT_EQ(cluster.configuration().revision, 5u);
@@ -82,11 +84,11 @@
   EXPECT_FALSE(cluster.route("h.example", "/zz/q"));
   EXPECT_FALSE(cluster.route("other.example", "/z/q"));
   for (const char* bad :
-       {R"({"Revision":5})",                                                     // not above
-        R"({"Revision":9,"Upsert":{"Routes":[{"Hostname")",                      // cut short
-        R"({"Revision":9,"Remove":{"Services":["t"]}})",                         // a route of it is left
+       {R"({"Revision":5})",                                 // not above its base
+        R"({"Revision":9,"Upsert":{"Routes":[{"Hostname")",  // cut short
+        R"({"Revision":9,"Remove":{"Services":["t"]}})",     // a route still uses the service
         R"({"Revision":9,"Upsert":{"Routes":[{"Name":"c","Hostname":"h.example","PathPrefix":"/x/y/",
-             "RouteType":"idempotent","TimeoutMs":10,"TargetService":"t"}]}})",  // the same place
+             "RouteType":"idempotent","TimeoutMs":10,"TargetService":"t"}]}})",  // the same host and path
         R"({"Revision":9,"Upsert":{"Routes":[{"Hostname":"x"}]}})",              // no name
         R"({"Revision":9,"Remove":["c"]})"})
     EXPECT_EQ(put(patch_configuration(5, bad)), 400) << bad;
@@ -100,18 +102,18 @@
 
 TEST(ConfigurationReader, IsTakenByCompareAndSet) {
   StateTable state;
-  auto offer = [&](std::uint64_t base, const std::string& body) {
-    auto v = validate_command(state, put_configuration(base, body));
-    for (auto& r : v.rows) r.sequence = state.last_sequence() + 1, state.put(r);
-    return answer_code(v.status);
+  auto submit = [&](std::uint64_t base, const std::string& body) {
+    auto result = validate_command(state, put_configuration(base, body));
+    for (auto& row : result.rows) row.sequence = state.last_sequence() + 1, state.put(row);
+    return answer_code(result.status);
   };
-  EXPECT_EQ(offer(1, kConfig), 503) << "version 1 may be on its way";
-  EXPECT_EQ(offer(0, kConfig), 200);
-  EXPECT_EQ(offer(0, kConfig), 200);  // the same again, as a call without a clear answer is repeated
-  EXPECT_EQ(offer(0, changed(kConfig, ":3", ":7")), 412);
-  EXPECT_EQ(offer(3, changed(kConfig, ":3", ":2")), 400);
-  EXPECT_EQ(offer(3, changed(kConfig, ":3", ":7")), 200);
-  EXPECT_EQ(offer(3, changed(kConfig, ":3", ":8")), 412);
+  EXPECT_EQ(submit(1, kConfig), 503) << "revision 1 may still be produced";
+  EXPECT_EQ(submit(0, kConfig), 200);
+  EXPECT_EQ(submit(0, kConfig), 200);  // the same again, as after a lost answer
+  EXPECT_EQ(submit(0, changed(kConfig, ":3", ":7")), 412);
+  EXPECT_EQ(submit(3, changed(kConfig, ":3", ":2")), 400);
+  EXPECT_EQ(submit(3, changed(kConfig, ":3", ":7")), 200);
+  EXPECT_EQ(submit(3, changed(kConfig, ":3", ":8")), 412);
   EXPECT_EQ(state.find(kConfigurationKey)->value, changed(kConfig, ":3", ":7"));
 }
 
--- a/tests/config/failover_commands_test.cc
+++ b/tests/config/failover_commands_test.cc
@@ -10,8 +10,8 @@
 class FailoverCommands : public testing::Test {
  protected:
   FailoverCommands() {
-    tell("a", 1, true);
-    tell("b", 2, false);
+    heartbeat("a", 1, true);
+    heartbeat("b", 2, false);
   }
   Status submit(const Json& command) {
     auto result = validate_command(state_, command);
@@ -22,8 +22,8 @@
     }
     return result.status;
   }
-  void tell(const std::string& id, std::uint16_t port, bool primary, bool draining = false) {
-    const Instance instance{{id}, "s", "z", {"10.0.0.1", port}, 4, draining, primary, ++calls_};
+  void heartbeat(const std::string& id, std::uint16_t port, bool primary, bool draining = false) {
+    const Instance instance{{id}, "s", "z", {"10.0.0.1", port}, 4, draining, primary, ++call_count_};
     EXPECT_TRUE(submit(put_instance(instance)).is_ok());
   }
   std::optional<DepartedInstance> departed(const std::string& id) const {
@@ -36,7 +36,7 @@
   }
 
   StateTable state_;
-  std::uint64_t calls_ = 0;
+  std::uint64_t call_count_ = 0;
 };
 
 TEST_F(FailoverCommands, ARecordIsReadAsItWasWritten) {
@@ -57,21 +57,21 @@
   EXPECT_FALSE(departed("b"));
 }
 
-TEST_F(FailoverCommands, TheHeirOfAFormerPrimaryIsKnownThroughRestarts) {
-  tell("c", 1, true);
+TEST_F(FailoverCommands, TheReplacementOfAFormerPrimaryIsTrackedThroughRestarts) {
+  heartbeat("c", 1, true);
   ASSERT_TRUE(departed("a"));
   EXPECT_EQ(departed("a")->replacement.value, "c");
-  tell("d", 1, true);
+  heartbeat("d", 1, true);
   EXPECT_EQ(departed("a")->replacement.value, "d");
 }
 
 TEST_F(FailoverCommands, OfReplicasOnlyThoseThatWereLeavingAreRememberedAtARestart) {
-  tell("e", 2, false);
+  heartbeat("e", 2, false);
   EXPECT_FALSE(departed("b"));
-  tell("e", 2, false, true);
-  tell("f", 2, false);
+  heartbeat("e", 2, false, true);
+  heartbeat("f", 2, false);
   ASSERT_TRUE(departed("e"));
-  EXPECT_TRUE(departed("e")->replacement.empty()) << "it takes its log along";
+  EXPECT_TRUE(departed("e")->replacement.empty()) << "its log is gone when it ends, so it has no replacement";
 }
 
 TEST_F(FailoverCommands, AStepIsRefusedOnceTheFailoverHasGoneOn) {
