--- a/tests/sidecar/answers_test.cc
+++ b/tests/sidecar/answers_test.cc
@@ -53,7 +53,7 @@
   OutboundHalf s;
   s.ask(1, false);
   s.out.handle_frame({"10.9.9.9", 7002}, {{"t", "a"}, {"s", 200}, {"n", s.offer_number(0)}});
-  EXPECT_EQ(s.status(1), 0) << "an answer of another address, or of a former life's number";
+  EXPECT_EQ(s.status(1), 0) << "a response from another address, or to an offer of an earlier process";
   s.out.handle_frame(s.offers[0].first, {{"t", "a"}, {"s", 200}, {"n", s.offer_number(0) + 1}});
   EXPECT_EQ(s.status(1), 0);
   s.reply_to(0, kOk);
@@ -67,8 +67,8 @@
   s.ask(2, false);
   s.held = {s.offer_number(0)};
   s.step(kRouteMs);
-  EXPECT_EQ(s.status(1), 503) << "it never left";
-  EXPECT_EQ(s.status(2), 504) << "it may run yet";
+  EXPECT_EQ(s.status(1), 503) << "it was never sent";
+  EXPECT_EQ(s.status(2), 504) << "it may still run";
   EXPECT_EQ(s.withdrawn.size(), 2u);
   s.out.link_down(s.offers[0].first, false);  // connecting fails after the client got its response
   s.out.link_down(s.offers[1].first, true);
@@ -89,11 +89,11 @@
   OutboundHalf s;
   for (CallId id = 1; id <= 20; ++id) s.ask(id, false);
   s.step(kRouteMs - 20);
-  EXPECT_EQ(s.offers.size(), 20u) << "a second database in a silence";
+  EXPECT_EQ(s.offers.size(), 20u) << "a second database is asked while the first does not respond";
   s.reply_to(0, kFailed);
   EXPECT_EQ(s.status(1), 502);
   s.reply_to(1, {{"t", "a"}, {"s", 503}});  // without the Not-Executed field of the database
-  EXPECT_EQ(s.status(2), 502) << "503 is a promise, and nobody has given it";
+  EXPECT_EQ(s.status(2), 502) << "503 says that it has not run, which no database has stated";
   EXPECT_EQ(s.offers.size(), 20u);
   s.step(20);
   for (CallId id = 3; id <= 20; ++id) EXPECT_EQ(s.status(id), 504);
@@ -118,7 +118,7 @@
     EXPECT_EQ(s.status(1), 0);
     EXPECT_EQ(s.offers.size(), 2u) << "no third";
     s.step(200);
-    EXPECT_EQ(s.status(1), 504) << "the other may run yet";
+    EXPECT_EQ(s.status(1), 504) << "the other may still run it";
     s.reply_to(first_promises ? 1 : 0, kOk);  // late: the call has ended
     EXPECT_EQ(s.out.open_calls(), 0u);
   }
@@ -141,7 +141,7 @@
   gone.reply_to(0, kGone);
   gone.reply_to(1, kFailed);
   EXPECT_EQ(gone.status(1), 0);
-  EXPECT_EQ(gone.offers.size(), 3u) << "one came to a database: another may be asked";
+  EXPECT_EQ(gone.offers.size(), 3u) << "only one attempt reached a database: another may follow";
   gone.reply_to(2, kFailed);
   EXPECT_EQ(gone.status(1), 502);
 }
@@ -172,8 +172,8 @@
   b.in.link_closed(1);
   b.answer(b.written[0].first, "q2");
   b.answer(b.written[1].first, "q3");
-  EXPECT_EQ(b.written.size(), 2u) << "held for a link that has ended";
-  EXPECT_TRUE(b.replies.empty()) << "said to a caller who has gone";
+  EXPECT_EQ(b.written.size(), 2u) << "sent for a link that has ended";
+  EXPECT_TRUE(b.replies.empty()) << "sent to a caller that has gone";
   EXPECT_EQ(b.in.pending_count(), 0u);
 }
 
@@ -186,13 +186,13 @@
   const ConnId opening = b.opened.back();
   b.offer(4, false, "GET", 100);
   b.in.set_database(InboundHalf::instance("b"));
-  EXPECT_EQ(b.reply_type(4), "no") << "it waited for the former one";
+  EXPECT_EQ(b.reply_type(4), "no") << "it was queued for the earlier process";
   b.in.app_connection_up(opening);
   EXPECT_EQ(b.reply_type(3), "no");
   EXPECT_EQ(b.written.size(), 2u);
   b.answer(idle, "q2");  // the earlier process still answers its own request
   EXPECT_EQ(b.reply_type(2), "a");
-  EXPECT_TRUE(b.is_closed(idle)) << "a connection to the former life is not kept";
+  EXPECT_TRUE(b.is_closed(idle)) << "a connection to the earlier process is not kept";
   // A request whose connection was reset with the earlier process is not sent to its successor, which counts
   // as a second database.
   InboundHalf c;
@@ -212,7 +212,7 @@
   ASSERT_EQ(b.written.back().first, idle);
   b.in.app_connection_down(idle, false);
   EXPECT_EQ(b.reply_type(2), "fail") << "may have run";
-  EXPECT_EQ(b.opened.size(), 1u) << "not once more";
+  EXPECT_EQ(b.opened.size(), 1u) << "it is not sent again";
   // An idempotent request is sent once more to the same database. That it has not run there the second time
   // does not mean that it has not run.
   for (int how = 0; how < 4; ++how) {
@@ -240,7 +240,7 @@
   b.step(5);
   b.offer(3, true);
   b.in.app_connection_down(b.written.back().first, false);
-  EXPECT_EQ(b.opened.size(), 3u) << "the other one has rested as long, and may be as dead";
+  EXPECT_EQ(b.opened.size(), 3u) << "the other connection has been idle as long, and may be dead too";
   b.in.app_connection_up(b.opened[2]);
   b.in.app_connection_down(b.opened[2], false);
   EXPECT_EQ(b.reply_type(3), "fail");
@@ -251,10 +251,10 @@
   const ConnId idle = b.idle_connection();
   b.offer(2, false);
   b.answer(idle, "q1");  // a late second response
-  EXPECT_EQ(b.reply_type(2), "") << "its own is still due";
+  EXPECT_EQ(b.reply_type(2), "") << "its own response is still to come";
   b.answer(idle, "q2");
   EXPECT_EQ(text_field(b.replies[2], "b"), "of q2");
-  EXPECT_TRUE(b.is_closed(idle)) << "one that speaks out of turn is not kept";
+  EXPECT_TRUE(b.is_closed(idle)) << "a connection with an unexpected response is not kept";
   struct Case {
     std::string id;
     int status;
@@ -370,7 +370,7 @@
     b.in.cancel(1, 1);  // cancelled twice: the time counts from the first
     b.step(1);
     EXPECT_TRUE(b.is_closed(safe));
-    EXPECT_FALSE(b.is_closed(once)) << "what may not run twice has its whole time";
+    EXPECT_FALSE(b.is_closed(once)) << "a request that is not idempotent may run until its deadline";
     EXPECT_EQ(b.in.pending_count(), 1u);
     b.in.app_reply_received(safe, {200, "late", {{kResponseSealField, "s"}, {kRequestIdField, "q1"}}}, 0);
     EXPECT_EQ(b.reply_type(1), "");
--- a/tests/sidecar/exit_test.cc
+++ b/tests/sidecar/exit_test.cc
@@ -11,9 +11,9 @@
   s.ask(1, true);
   s.out.stop_accepting();
   s.ask(2, true);
-  EXPECT_EQ(s.status(2), 503) << "a promise: its client goes to another machine";
+  EXPECT_EQ(s.status(2), 503) << "refused as not run: its client can go to another machine";
   EXPECT_EQ(s.offers.size(), 1u);
-  EXPECT_EQ(s.status(1), 0) << "what was taken goes on";
+  EXPECT_EQ(s.status(1), 0) << "accepted requests continue";
   s.reply_to(0, kOk);
   EXPECT_EQ(s.status(1), 200);
 }
@@ -36,8 +36,8 @@
   s.held = {s.offer_number(0)};
   s.out.stop_accepting();
   s.out.fail_pending();
-  EXPECT_EQ(s.status(1), 503) << "it never left";
-  EXPECT_EQ(s.status(2), 502) << "it may run yet";
+  EXPECT_EQ(s.status(1), 503) << "it was never sent";
+  EXPECT_EQ(s.status(2), 502) << "it may still run";
   EXPECT_EQ(s.withdrawn.size(), 2u);
   EXPECT_EQ(s.out.open_calls(), 0u);
 }
@@ -54,10 +54,10 @@
   };
   EXPECT_EQ(offered(), 0);
   s.reply_to(0, kOk);
-  EXPECT_EQ(s.status(1), 200) << "what it has taken, it answers";
+  EXPECT_EQ(s.status(1), 200) << "accepted requests are answered";
   s.out.link_down(ending, true);
   for (CallId id = 61; id <= 160; ++id) s.ask(id, false);
-  EXPECT_GT(offered(), 0) << "its next process serves";
+  EXPECT_GT(offered(), 0) << "its next process is used";
 }
 
 // Guards against requests of other machines that a sidecar accepts while it shuts down, and then loses.
@@ -85,7 +85,7 @@
   b.in.fail_pending();
   EXPECT_EQ(b.reply_type(1), "fail") << "it may have run";
   EXPECT_EQ(b.reply_type(2), "no") << "its connection was not up";
-  EXPECT_EQ(b.reply_type(3), "no") << "it waited";
+  EXPECT_EQ(b.reply_type(3), "no") << "it was queued";
   EXPECT_TRUE(b.is_closed(b.opened.at(0)));
   EXPECT_EQ(b.in.pending_count(), 0u);
   b.step(1000);
--- a/tests/sidecar/mesh_cluster.h
+++ b/tests/sidecar/mesh_cluster.h
@@ -206,37 +206,37 @@
 inline void Node::to_client(const std::shared_ptr<ClientConn>& c, const std::string& written) {
   std::string_view bytes = written;
   while (!bytes.empty() && !c->closed) {
-    ASSERT_FALSE(c->asked.empty()) << "an answer that nobody asked for";
+    ASSERT_FALSE(c->asked.empty()) << "a response without a request";
     const std::string id = c->asked.front();
     ClientRequest& t = w.requests[id];
     c->answers.no_body(t.head);
     std::size_t took = 0;
-    ASSERT_EQ(int(c->answers.feed(bytes, took)), int(HttpReader::State::kDone)) << "not a whole answer";
+    ASSERT_EQ(int(c->answers.feed(bytes, took)), int(HttpReader::State::kDone)) << "an incomplete response";
     bytes.remove_prefix(took);
     HttpMessage m = c->answers.take();
     c->asked.pop_front();
     ++t.answers;
     t.status = m.status;
     auto* named = find_field(m.fields, kRequestIdField);
-    ASSERT_TRUE(!named || *named == id) << "the answer to another request";
+    ASSERT_TRUE(!named || *named == id) << "the response to another request";
     if (auto* run = find_field(m.fields, "X-Run")) {
       const Execution& r = w.runs[std::size_t(std::stoi(*run))];
-      ASSERT_EQ(r.id, id) << "the answer to another request";
-      ASSERT_EQ(t.head ? "" : r.body, m.body) << "parts of two answers";
-      ASSERT_FALSE(r.aborted) << "an answer of a connection that had ended";
+      ASSERT_EQ(r.id, id) << "the response to another request";
+      ASSERT_EQ(t.head ? "" : r.body, m.body) << "parts of two responses";
+      ASSERT_FALSE(r.aborted) << "a response from a connection that had ended";
     } else {
-      ASSERT_TRUE(m.body.empty()) << "a body of nobody's";
+      ASSERT_TRUE(m.body.empty()) << "a body that no database sent";
       ASSERT_GE(m.status, 400);
     }
     ASSERT_TRUE(m.status != 200 || find_field(m.fields, kResponseSealField));
     for (int s : {408, 421, 429, 503}) t.promised_not_run = t.promised_not_run || m.status == s;
     for (auto& x : t.deliveries)
       ASSERT_TRUE(x.reported_not_run || !t.promised_not_run)
-          << id << " is promised not to run, but was written";
+          << id << " was reported as not run, but was sent to a database";
     ++(m.status == 200 ? w.served : m.status == 503 ? w.refused : w.unknown);
     if (m.keep_alive) continue;
     c->closed = true;
-    ASSERT_TRUE(bytes.empty()) << "bytes behind an answer that closes";
+    ASSERT_TRUE(bytes.empty()) << "bytes after a response that closes";
     // Requests after a response that closes count as not read: clients send them again, idempotent or not.
     for (auto& rest : c->asked) w.requests[rest].promised_not_run = true;
   }
--- a/tests/sidecar/scripted_databases.h
+++ b/tests/sidecar/scripted_databases.h
@@ -47,18 +47,18 @@
   const std::string tried = *find_field(c.fields, kRequestIdField),
                     target_database = *find_field(c.fields, kTargetInstanceField);
   ClientRequest& t = w.requests[tried];
-  ASSERT_TRUE(t.whole) << tried << " is written before it was read whole";
+  ASSERT_TRUE(t.whole) << tried << " is sent before it was read completely";
   ASSERT_EQ(c.method + c.target + c.body, t.method + t.path + t.body) << "a changed request";
   ASSERT_EQ(count_fields(c.fields, kRequestIdField), 1u);
-  ASSERT_FALSE(t.promised_not_run) << tried << " is written after the promise that it never will run";
+  ASSERT_FALSE(t.promised_not_run) << tried << " is sent after it was reported as not run";
   for (auto& x : t.deliveries)
-    ASSERT_TRUE(t.idempotent || x.reported_not_run) << tried << " is written twice, and may have run before";
+    ASSERT_TRUE(t.idempotent || x.reported_not_run) << tried << " is sent twice, and may have run before";
   w.second_databases += !t.deliveries.empty() && t.deliveries.back().database != target_database;
   w.resent += !t.deliveries.empty() && t.deliveries.back().database == target_database;
   t.deliveries.push_back({target_database, conn->serial, false});
   std::set<std::string> where;
   for (auto& x : t.deliveries) where.insert(x.database);
-  ASSERT_LE(where.size(), 2u) << tried << " comes to more databases than its route allows";
+  ASSERT_LE(where.size(), 2u) << tried << " reaches more databases than its route allows";
   conn->reader.request_sent(c.method == "HEAD");
   conn->current_request = tried;
   const std::string bytes = serialize_request(c);
@@ -110,7 +110,7 @@
     f.emplace_back(kNotExecutedField, "1");
     return queue_bytes(c, 1 + pick(20), message(inject_fault == 2 ? 503 : 429, f, "", true));
   }
-  ASSERT_EQ(service_of_database[life], t.service) << "it runs at another service";
+  ASSERT_EQ(service_of_database[life], t.service) << "it runs in another service";
   ++t.runs;
   const int run = int(runs.size());
   runs.push_back(
@@ -313,9 +313,9 @@
   for (auto& [id, t] : requests) {
     ASSERT_LE(t.answers, 1) << id << " is answered twice";
     ASSERT_TRUE(t.idempotent || t.runs <= 1) << id << " runs twice";
-    ASSERT_FALSE(t.promised_not_run && t.runs > 0) << id << " runs, though it was promised not to";
+    ASSERT_FALSE(t.promised_not_run && t.runs > 0) << id << " runs, though it was reported as not run";
     ASSERT_TRUE(t.answers || t.gone || t.promised_not_run || now < t.started_at + 3 * kRouteMs)
-        << id << " has no answer";
+        << id << " has no response";
   }
   std::erase_if(requests, [&](auto& e) { return now > e.second.started_at + 6 * kRouteMs; });
 }
--- a/tests/sidecar/sidecar_fuzz_test.cc
+++ b/tests/sidecar/sidecar_fuzz_test.cc
@@ -511,7 +511,7 @@
       if (auto m = injured(told)) caller.out.handle_frame(caller.where[i], *m);
       if (auto m = injured(offer_made)) b.in.offer(1, *m);
       if (auto m = injured(offer(100 + i, s))) {
-        // Its number may be any by now; only what can be told apart is counted.
+        // Its number may have been mutated; a unique one lets replies be counted per frame.
         (*m)["n"] = 1000 + i;
         b.in.offer(1, *m);
       }
--- a/tests/sidecar/sidecar_test.cc
+++ b/tests/sidecar/sidecar_test.cc
@@ -128,19 +128,19 @@
     while (!events.empty() && events.begin()->first <= now) events.extract(events.begin()).mapped()();
     for (auto& [id, f] : outcomes) {
       ASSERT_LE(f.answers, 1) << id << " is answered twice";
-      ASSERT_LE(f.databases.size(), 2u) << id << " comes to more databases than the route allows";
+      ASSERT_LE(f.databases.size(), 2u) << id << " reaches more databases than the route allows";
       ASSERT_TRUE(f.idempotent || f.runs <= 1) << id << " runs twice";
       ASSERT_FALSE(f.runs > 0 && (f.status == 503 || f.status == 404))
-          << id << " runs though a promise says no";
+          << id << " runs, though it was refused";
       ASSERT_TRUE(f.answers || f.lost || now <= f.started_at + kTimeout + 5)
-          << id << " has no answer in time";
+          << id << " has no response in time";
     }
     std::erase_if(outcomes, [&](auto& f) { return now > f.second.started_at + 4 * kTimeout; });
     for (auto& s : nodes) ASSERT_LE(s->running, kSlots) << "a database gets more than its slots";
     // In any window, requests to a second database against first attempts.
     while (!first.empty() && first.front() <= now - 10000) first.pop_front();
     while (!second.empty() && second.front() <= now - 10000) second.pop_front();
-    ASSERT_LE(double(second.size()), 0.2 * double(first.size()) + 8) << "the budget is overdrawn";
+    ASSERT_LE(double(second.size()), 0.2 * double(first.size()) + 8) << "the retry budget is exceeded";
   }
   void ask(int node) {
     std::string id = "q" + std::to_string(++asked);
@@ -168,7 +168,7 @@
     ASSERT_EQ(c.body, "body of " + id);
     ASSERT_EQ(count_fields(c.fields, kCallerServiceField), 1u);
     ASSERT_EQ(*find_field(c.fields, kCallerServiceField), "service" + std::to_string(f.node))
-        << "a caller is forged or lost";
+        << "the caller is wrong";
     ASSERT_EQ(*find_field(c.fields, kTargetInstanceField), "db" + std::to_string(db));
     if (f.databases.insert(db).second) (f.databases.size() == 1 ? first : second).push_back(now);
     Node& s = *nodes[std::size_t(db)];
@@ -239,7 +239,7 @@
   f.status = r.status;
   ++(r.status == 200 ? mesh.served : r.status == 503 ? mesh.refused : mesh.failed);
   if (r.status == 200) {
-    ASSERT_EQ(r.body, "ok " + mesh.calls[id]) << "another request's answer";
+    ASSERT_EQ(r.body, "ok " + mesh.calls[id]) << "the response to another request";
     ASSERT_TRUE(find_field(r.fields, kResponseSealField));
   }
 }
@@ -314,7 +314,7 @@
     ASSERT_NO_FATAL_FAILURE(m.step());
   }
   EXPECT_GT(m.served, m.asked / 2);
-  EXPECT_GT(m.failed + m.refused, 0) << "a day without trouble shows nothing";
+  EXPECT_GT(m.failed + m.refused, 0) << "the run injected no fault that mattered";
 }
 
 TEST(Mesh, RequestsKeepTheirRulesWhileSidecarsDieAndDatabasesFail) {
