--- a/tests/failover/failover_model.cc
+++ b/tests/failover/failover_model.cc
@@ -11,8 +11,8 @@
 using failover::DatabaseReply;
 
 const char* const kService = "s";
-// Every short timer of the machine ends in it, and so do the leases of nodes that have not heard of a
-// suspension.
+// ms; the time that one tick event advances. It exceeds every short timer of the step machine and the lease
+// of a node that doesn't know of a suspension.
 constexpr Millis kTickMs = 1600;
 constexpr Millis kDrainMs = 7000;
 
@@ -27,8 +27,8 @@
 
 }  // namespace
 
-FailoverModel::FailoverModel(Amnesia amnesia, const Budgets& budgets, int sync_replicas)
-    : amnesia_(amnesia), left_(budgets), sync_replicas_(sync_replicas) {
+FailoverModel::FailoverModel(InjectedFault fault, const EventLimits& limits, int sync_replicas)
+    : fault_(fault), remaining_(limits), sync_replicas_(sync_replicas) {
   state_.put({kConfigurationHeadKey, "[1,3000]", 1, false});
   state_.put({kServicePrefix + kService, "[16," + std::to_string(sync_replicas) + "]", 1, false});
   for (int number = 0; number < 3; ++number) {
@@ -69,15 +69,15 @@
 }
 
 failover::ServiceView FailoverModel::view() {
-  ClusterState cluster;  // it points into itself, so it is not copied with the model
+  ClusterState cluster;  // has pointers into itself, so it can't be copied with the model
   cluster.update_from(state_);
   auto view = failover::read_service_view(state_, cluster, kService);
-  if (amnesia_ == Amnesia::kForgetsDeparted) view.departed.clear();
-  if (amnesia_ == Amnesia::kForgetsCalls) {
-    const bool made_by_this = !view.record.calls.empty() &&
-                              view.record.calls.back().number == operation_.call_number &&
-                              operation_.step == failover::Step::kRecording;
-    if (!made_by_this) view.record.calls.clear();
+  if (fault_ == InjectedFault::kIgnoresDeparted) view.departed.clear();
+  if (fault_ == InjectedFault::kIgnoresCalls) {
+    const bool made_by_this_controller = !view.record.calls.empty() &&
+                                         view.record.calls.back().number == operation_.call_number &&
+                                         operation_.step == failover::Step::kRecording;
+    if (!made_by_this_controller) view.record.calls.clear();
   }
   return view;
 }
@@ -102,7 +102,8 @@
   return best;
 }
 
-DatabaseReply FailoverModel::ask(const std::string& id, const std::string& statement, bool lost) {
+DatabaseReply FailoverModel::execute_statement(const std::string& id, const std::string& statement,
+                                               bool lost) {
   const ModelDatabase& asked = databases_.at(id);
   for (auto& [other, database] : databases_)
     if (!asked.up && database.up && database.address == asked.address && other != id)
@@ -110,18 +111,20 @@
   if (!asked.up) return {DatabaseReply::Kind::kRefused, {}, {}};
   ModelDatabase& database = databases_.at(id);
   const std::uint64_t term = term_of(statement);
-  if (statement.starts_with("PAUSE") && !database.primary) database.held = std::max(database.held, term);
-  if (statement.starts_with("CONTINUE")) database.held = 0;
+  if (statement.starts_with("PAUSE") && !database.primary)
+    database.paused_term = std::max(database.paused_term, term);
+  if (statement.starts_with("CONTINUE")) database.paused_term = 0;
   if (statement.starts_with("STEPDOWN") && database.primary && database.term < term) database.primary = false;
   if (lost) return {};
-  return {
-      DatabaseReply::Kind::kRow, {database.primary, database.term, database.position, database.held, 0}, {}};
+  return {DatabaseReply::Kind::kRow,
+          {database.primary, database.term, database.position, database.paused_term, 0},
+          {}};
 }
 
 void FailoverModel::run_round(const std::string& lost_id) {
   const auto queries = std::exchange(queries_, {});
   for (auto& query : queries) {
-    const auto reply = ask(query.to.id.value, query.statement, query.to.id.value == lost_id);
+    const auto reply = execute_statement(query.to.id.value, query.statement, query.to.id.value == lost_id);
     handle(failover::Reply{query.round, query.to.id, reply});
   }
 }
@@ -141,8 +144,8 @@
   database.position = {database.term, database.position.number + 1};
 }
 
-// A commit that a replica has received is answered, and the nodes pass that on unless they know of a
-// suspension.
+// The primary acknowledges the commits that a replica has received, and nodes report this to clients unless
+// they know of the suspension.
 void FailoverModel::acknowledge(const ModelDatabase& leader) {
   const auto assignment = decode_primary(state_.find(primary_key(kService))->value);
   auto assigned = databases_.find(assignment->primary.value);
@@ -174,7 +177,7 @@
   std::uint64_t newest = 0;
   for (auto& [id, database] : databases_) newest = std::max(newest, database.term);
   promoted.primary = true;
-  promoted.held = 0;
+  promoted.paused_term = 0;
   promoted.term = newest + 1;
   promoted.position = {promoted.term, promoted.position.number};
   for (auto& [id, database] : databases_) {
@@ -188,7 +191,7 @@
   ModelDatabase& former = databases_.at(id);
   ModelDatabase next = former;
   next.up = true;
-  next.held = 0;
+  next.paused_term = 0;
   next.registered = false;
   for (auto& [other, database] : databases_)
     if (database.term > next.term) next.primary = false;
@@ -198,10 +201,10 @@
 
 // --- events
 
-void FailoverModel::commit_submission(bool told) {
+void FailoverModel::commit_submission(bool reported) {
   const auto submissions = std::exchange(submissions_, {});
   for (auto& submission : submissions) change(submission.command);
-  handle(failover::Submitted{submissions.front().round, told});
+  handle(failover::Submitted{submissions.front().round, reported});
 }
 
 void FailoverModel::call_platform(const std::string& how) {
@@ -213,8 +216,9 @@
   if (how == "refused") handle(failover::PromoteAnswered{call.call_number, PromoteOutcome::kRefused});
 }
 
-// The other controller takes the duty over; what this one had under way is lost, or still carried out.
-void FailoverModel::move_duty() {
+// Another controller takes over the duty. Pending queries, submissions and calls of the former one are
+// lost; late promotes may still take effect.
+void FailoverModel::replace_controller() {
   ++token_;
   operation_ = {};
   queries_.clear();
@@ -229,36 +233,37 @@
   };
   const bool suspended = is_suspended();
   add(!queries_.empty(), "answer");
-  for (auto& query : queries_) add(left_.lost_replies > 0, "lose " + query.to.id.value);
+  for (auto& query : queries_) add(remaining_.lost_replies > 0, "lose " + query.to.id.value);
   add(!submissions_.empty(), "commit");
-  add(!submissions_.empty() && left_.lost_replies > 0, "commit-untold");
+  add(!submissions_.empty() && remaining_.lost_replies > 0, "commit-untold");
   add(call_.has_value(), "platform accepted");
-  add(call_.has_value() && left_.late_promotes > 0, "platform late");
-  add(call_.has_value() && left_.late_promotes > 0, "platform unanswered");
+  add(call_.has_value() && remaining_.late_promotes > 0, "platform late");
+  add(call_.has_value() && remaining_.late_promotes > 0, "platform unanswered");
   for (auto& successor : late_promotes_) add(databases_.at(successor).up, "effect " + successor);
   const bool idle = queries_.empty() && submissions_.empty() && !call_;
-  add(idle && left_.ticks > 0 && (suspended || operation_.step != failover::Step::kIdle), "tick");
+  add(idle && remaining_.ticks > 0 && (suspended || operation_.step != failover::Step::kIdle), "tick");
   add(suspended && !nodes_blocked_, "nodes");
-  add(left_.duty_moves > 0 && suspended, "duty");
+  add(remaining_.duty_moves > 0 && suspended, "duty");
   const auto assignment = decode_primary(state_.find(primary_key(kService))->value);
   auto assigned = databases_.find(assignment->primary.value);
-  const bool gone = assigned == databases_.end() || !assigned->second.up || !assigned->second.registered;
-  add(idle && !suspended && operation_.step == failover::Step::kIdle && gone, "begin");
+  const bool primary_lost =
+      assigned == databases_.end() || !assigned->second.up || !assigned->second.registered;
+  add(idle && !suspended && operation_.step == failover::Step::kIdle && primary_lost, "begin");
   add(idle && !suspended && operation_.step == failover::Step::kIdle && assigned != databases_.end() &&
           assigned->second.departed && assigned->second.up,
       "begin planned");
   const std::string leading = leader();
   for (auto& [id, database] : databases_) {
-    add(left_.writes > 0 && database.up && id == leading, "write " + id);
-    const bool follows = database.up && !database.primary && database.held == 0 && !leading.empty() &&
+    add(remaining_.writes > 0 && database.up && id == leading, "write " + id);
+    const bool follows = database.up && !database.primary && database.paused_term == 0 && !leading.empty() &&
                          database.term <= databases_.at(leading).term &&
                          database.log != databases_.at(leading).log;
     add(follows, "replicate " + id);
-    add(database.up && database.held > 0 && !suspended, "release " + id);
-    add(left_.crashes > 0 && database.up && !database.departed, "crash " + id);
+    add(database.up && database.paused_term > 0 && !suspended, "release " + id);
+    add(remaining_.crashes > 0 && database.up && !database.departed, "crash " + id);
     add(!database.up && !database.ended && !database.departed, "restart " + id);
     add(database.up && !database.registered && !database.departed, "register " + id);
-    add(left_.leavings > 0 && database.up && database.registered && !database.departed, "leave " + id);
+    add(remaining_.departures > 0 && database.up && database.registered && !database.departed, "leave " + id);
     add(database.up && database.departed, "end " + id);
     const bool superseded = database.up && database.primary && id != leading;
     add(superseded, "follow " + id);
@@ -268,47 +273,50 @@
 
 void FailoverModel::apply(const std::string& event) {
   const std::string kind = event.substr(0, event.find(' '));
-  const std::string what = event.find(' ') == std::string::npos ? "" : event.substr(event.find(' ') + 1);
+  const std::string argument = event.find(' ') == std::string::npos ? "" : event.substr(event.find(' ') + 1);
   if (kind == "answer") run_round("");
-  if (kind == "lose") --left_.lost_replies, run_round(what);
+  if (kind == "lose") --remaining_.lost_replies, run_round(argument);
   if (kind == "commit") commit_submission(true);
-  if (kind == "commit-untold") --left_.lost_replies, commit_submission(false);
-  if (kind == "platform") left_.late_promotes -= what != "accepted", call_platform(what);
+  if (kind == "commit-untold") --remaining_.lost_replies, commit_submission(false);
+  if (kind == "platform") remaining_.late_promotes -= argument != "accepted", call_platform(argument);
   if (kind == "effect") {
-    late_promotes_.erase(std::find(late_promotes_.begin(), late_promotes_.end(), what));
-    take_effect(what);
+    late_promotes_.erase(std::find(late_promotes_.begin(), late_promotes_.end(), argument));
+    take_effect(argument);
   }
   if (kind == "tick") {
-    --left_.ticks;
+    --remaining_.ticks;
     now_ += kTickMs;
     nodes_blocked_ = nodes_blocked_ || is_suspended();
     handle(failover::Tick{});
   }
   if (kind == "nodes") nodes_blocked_ = true;
-  if (kind == "duty") --left_.duty_moves, move_duty();
-  if (kind == "begin") handle(failover::Begin{what == "planned", what == "planned" ? "leaves" : "is gone"});
-  if (kind == "write") --left_.writes, write(what);
-  if (kind == "replicate") replicate(what);
-  if (kind == "release") databases_.at(what).held = 0;
-  if (kind == "crash") --left_.crashes, databases_.at(what).up = false;
-  if (kind == "restart") restart(what);
-  if (kind == "register") databases_.at(what).registered = true, change(put_instance(instance_of(what)));
-  if (kind == "leave") --left_.leavings, databases_.at(what).departed = true, change(retire_instance({what}));
-  if (kind == "end") databases_.at(what).up = false, databases_.at(what).ended = true;
-  if (kind == "follow") databases_.at(what).primary = false;
-  if (amnesia_ == Amnesia::kDropsRenamed)
+  if (kind == "duty") --remaining_.duty_moves, replace_controller();
+  if (kind == "begin")
+    handle(failover::Begin{argument == "planned", argument == "planned" ? "leaves" : "is gone"});
+  if (kind == "write") --remaining_.writes, write(argument);
+  if (kind == "replicate") replicate(argument);
+  if (kind == "release") databases_.at(argument).paused_term = 0;
+  if (kind == "crash") --remaining_.crashes, databases_.at(argument).up = false;
+  if (kind == "restart") restart(argument);
+  if (kind == "register")
+    databases_.at(argument).registered = true, change(put_instance(instance_of(argument)));
+  if (kind == "leave")
+    --remaining_.departures, databases_.at(argument).departed = true, change(retire_instance({argument}));
+  if (kind == "end") databases_.at(argument).up = false, databases_.at(argument).ended = true;
+  if (kind == "follow") databases_.at(argument).primary = false;
+  if (fault_ == InjectedFault::kDropsRestarted)
     for (auto& [id, liveness] : operation_.liveness.all())
       if (!liveness.replaced_by.empty() && state_.find(instance_key(id))) change(remove_instance(id));
 }
 
-bool FailoverModel::settles() {
-  constexpr int kMostSteps = 200;
-  for (int step = 0; step < kMostSteps; ++step) {
+bool FailoverModel::recovers() {
+  constexpr int kMaxSteps = 200;
+  for (int step = 0; step < kMaxSteps; ++step) {
     for (const char* kind : {"restart", "register"})
       for (auto& event : events())
         if (event.starts_with(kind)) apply(event);
     nodes_blocked_ = nodes_blocked_ || is_suspended();
-    left_.ticks = 1;
+    remaining_.ticks = 1;
     const auto possible = events();
     const auto assignment = decode_primary(state_.find(primary_key(kService))->value);
     if (!is_suspended() && operation_.step == failover::Step::kIdle && leader() == assignment->primary.value)
@@ -330,7 +338,7 @@
     key += id;
     add(std::uint64_t(database.address) << 8 | database.up << 5 | database.primary << 4 |
         database.registered << 3 | database.departed << 2 | database.ended << 1);
-    for (auto value : {database.term, database.held, database.position.term, database.position.number})
+    for (auto value : {database.term, database.paused_term, database.position.term, database.position.number})
       add(value);
     for (int commit : database.log) add(std::uint64_t(commit));
     key += ";";
@@ -355,9 +363,9 @@
                      int(operation.successor_reported), int(nodes_blocked_)})
     add(std::uint64_t(value));
   for (auto number : operation.refused_calls) add(number);
-  for (int budget : {left_.writes, left_.crashes, left_.leavings, left_.duty_moves, left_.lost_replies,
-                     left_.late_promotes, left_.ticks})
-    add(std::uint64_t(budget));
+  for (int limit : {remaining_.writes, remaining_.crashes, remaining_.departures, remaining_.duty_moves,
+                    remaining_.lost_replies, remaining_.late_promotes, remaining_.ticks})
+    add(std::uint64_t(limit));
   return key;
 }
 
@@ -366,7 +374,7 @@
   for (auto& [id, database] : databases_)
     text += "  " + id + (database.up ? "" : " down") + (database.primary ? " primary" : "") + "@" +
             database.position.text() + "/term" + std::to_string(database.term) + "/held" +
-            std::to_string(database.held);
+            std::to_string(database.paused_term);
   const Row* record = state_.find(failover_key(kService));
   return text + "  " + state_.find(primary_key(kService))->value + (record ? " " + record->value : "");
 }
--- a/tests/failover/failover_model.h
+++ b/tests/failover/failover_model.h
@@ -1,8 +1,9 @@
-// A small world in which every order of events can be explored: databases of one service, one platform that
-// does not check fences, one group of nodes, and the controller that holds the duty. The steps of the
-// failover and the commands of the replicated state are the product's own code.
+// A model of a cluster that is small enough to explore every order of events: the databases of one service, a
+// platform that does not check fencing tokens, one group of nodes, and the controller that holds the failover
+// duty. The step machine and the commands of the replicated state are the production code.
 //
-// All statements of one round reach their databases at one moment; anything may happen between two rounds.
+// All statements of one round reach their databases at the same moment; any event may happen between two
+// rounds.
 #pragma once
 #include <map>
 #include <optional>
@@ -15,34 +16,36 @@
 
 namespace pebblespindle::test {
 
-// Knowledge that the machine is denied: the faults that this check has to find.
-enum class Amnesia { kNone, kForgetsDeparted, kDropsRenamed, kForgetsCalls };
+// Faults that are injected by hiding knowledge from the step machine; the exploration has to find the lost
+// commit.
+enum class InjectedFault { kNone, kIgnoresDeparted, kDropsRestarted, kIgnoresCalls };
 
-// How often each kind of event may happen on one path.
-struct Budgets {
-  int writes = 1, crashes = 1, leavings = 1, duty_moves = 1, lost_replies = 1, late_promotes = 1, ticks = 6;
+// The maximum number of events of each kind on one path.
+struct EventLimits {
+  int writes = 1, crashes = 1, departures = 1, duty_moves = 1, lost_replies = 1, late_promotes = 1, ticks = 6;
 };
 
 struct ModelDatabase {
   int address = 0;
   bool up = true, primary = false, registered = true, departed = false, ended = false;
-  std::uint64_t term = 1, held = 0;
+  std::uint64_t term = 1, paused_term = 0;
   Position position{1, 0};
-  std::vector<int> log;  // commits
+  std::vector<int> log;  // numbers of the commits, oldest first
 };
 
 class FailoverModel {
  public:
-  FailoverModel(Amnesia amnesia, const Budgets& budgets, int sync_replicas);
-  // What may happen next, by name.
+  FailoverModel(InjectedFault fault, const EventLimits& limits, int sync_replicas);
+  // The names of the events that may happen next.
   std::vector<std::string> events() const;
   void apply(const std::string& event);
-  // Tells equal worlds.
+  // A key that is equal for equal states of the model.
   std::string key() const;
-  // Empty while all rules hold.
+  // The first violated invariant; empty if there is none.
   const std::string& violation() const { return violation_; }
-  // All databases are back and all is answered from now on: whether the service gets a primary that leads.
-  bool settles();
+  // Restarts all databases and answers everything from now on; returns whether the service gets a primary
+  // that leads.
+  bool recovers();
   std::string describe() const;
 
  private:
@@ -51,22 +54,22 @@
   void handle(const failover::Event& event);
   bool change(const Json& command);
   Instance instance_of(const std::string& id) const;
-  failover::DatabaseReply ask(const std::string& id, const std::string& statement, bool lost);
+  failover::DatabaseReply execute_statement(const std::string& id, const std::string& statement, bool lost);
   void run_round(const std::string& lost_id);
-  void commit_submission(bool told);
+  void commit_submission(bool reported);
   void take_effect(const std::string& successor);
   void call_platform(const std::string& how);
   void replicate(const std::string& id);
   void write(const std::string& id);
   void acknowledge(const ModelDatabase& leader);
   void restart(const std::string& id);
-  void move_duty();
+  void replace_controller();
   std::string leader() const;
   bool is_suspended() const;
   bool is_lost_for_good(int commit) const;
 
-  Amnesia amnesia_;
-  Budgets left_;
+  InjectedFault fault_;
+  EventLimits remaining_;
   int sync_replicas_;
   Databases databases_;
   StateTable state_;
