--- a/src/failover/pause.cc
+++ b/src/failover/pause.cc
@@ -18,6 +18,7 @@
     if (reply != operation_.replies.end() && reply->second.info.primary) superseded.push_back(holder);
   }
   if (receiving.empty()) return retry_after(kFailoverRetryMs);
+  // Databases that still lead an older term are stepped down first; the next attempt pauses them.
   enter(Step::kPausing);
   operation_.pause_retries = 0;
   if (superseded.empty()) return query_all(receiving, "PAUSE " + std::to_string(operation_.term + 1));
@@ -32,9 +33,9 @@
   if (record_replies()) return retry_after(0);
   if (retry_failed_pauses()) return;
   const LogSurvey logs = survey_logs(view_, environment_, operation_);
-  const Instance* former = view_.find_registered(view_.assignment.primary);
+  const Instance* former_primary = view_.find_registered(view_.assignment.primary);
   const bool primary_leads = !operation_.primary_committed.none();
-  const bool primary_remains = primary_leads && former && !former->draining;
+  const bool primary_remains = primary_leads && former_primary && !former_primary->draining;
   if (!logs.unreachable.empty() && primary_remains) return promotion_.abandon();
   if (wait_for_missing_logs(logs)) return;
   if (*logs.newest_position < operation_.primary_committed) {
@@ -102,11 +103,11 @@
 // A primary that has crashed comes back with its log; one that has shut down in an orderly way does not.
 Millis Pause::max_log_wait() const {
   const DepartedInstance* departed = view_.find_departed(view_.assignment.primary);
-  const bool left_in_order =
+  const bool shut_down_in_order =
       departed && departed->replacement.empty() &&
       has_departed_process_ended(*departed, operation_.liveness.of(departed->instance.id), environment_.now,
                                  environment_.drain_ms);
-  return left_in_order ? kReplacementLogWaitMs : kUncoveredLogWaitMs;
+  return shut_down_in_order ? kReplacementLogWaitMs : kUncoveredLogWaitMs;
 }
 
 // Replicating again is safe: while the service is suspended, nodes report no commit to clients as kept, so
@@ -117,8 +118,8 @@
   query_all(replicas, "CONTINUE");
 }
 
-// Used when the replicas do not catch up with a primary that leads: as a replica, it takes part in the choice
-// of the successor with the newest log.
+// Used when the replicas do not catch up with a primary that leads, or when that primary may have been
+// superseded. As a replica, it takes part in the choice of the successor with the newest log.
 void Pause::step_down(const InstanceId& id) {
   std::vector<LogHolder> leading;
   for (auto& holder : log_holders(view_, operation_))
