--- a/tests/pooler/session_cluster.cc
+++ b/tests/pooler/session_cluster.cc
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-SessionSimulation::SessionSimulation(std::uint32_t seed, FaultRates t) : rng_(seed), faults_(t) {
+SessionSimulation::SessionSimulation(std::uint32_t seed, SessionFaultRates t) : rng_(seed), faults_(t) {
   std::string routes;
   for (auto* r : {"primary", "bounded"})
     routes +=
--- a/tests/pooler/session_cluster.h
+++ b/tests/pooler/session_cluster.h
@@ -15,7 +15,7 @@
 
 namespace pebblespindle::test {
 
-struct FaultRates {  // probabilities of one run, per statement, connection or ms
+struct SessionFaultRates {  // probabilities of one run, per statement, connection or ms
   double reset = 0, stall = 0, twice = 0, tail = 0, torn = 0, misfit = 0, lost = 0, refuse = 0;
   double vanish = 0, promote = 0, lapse = 0, agent = 0, pooler = 0, stray = 0, leave = 0;
 };
@@ -29,7 +29,7 @@
 
 class SessionSimulation : public pooler::EngineCallbacks {
  public:
-  SessionSimulation(std::uint32_t seed, FaultRates t);
+  SessionSimulation(std::uint32_t seed, SessionFaultRates t);
   void step();
   void stop_faults();  // stalled databases go on
   void check_recovery();
@@ -126,7 +126,7 @@
   void report_recovered(const InstanceId&) override {}
 
   std::mt19937 rng_;
-  FaultRates faults_;
+  SessionFaultRates faults_;
   Millis now_ = 1000;
   std::uint64_t last_event_ = 0;
   std::priority_queue<Event> events_;
--- a/tests/pooler/session_simulation_test.cc
+++ b/tests/pooler/session_simulation_test.cc
@@ -196,9 +196,9 @@
 namespace {
 
 // The faults are drawn by the seed, so that some runs have only a few kinds of them.
-FaultRates random_faults(std::uint32_t seed) {
+SessionFaultRates random_faults(std::uint32_t seed) {
   std::mt19937 rng(seed * 7919 + 1);
-  FaultRates t;
+  SessionFaultRates t;
   double* all[] = {&t.reset,  &t.stall,   &t.twice, &t.tail,  &t.torn,   &t.misfit, &t.lost, &t.refuse,
                    &t.vanish, &t.promote, &t.lapse, &t.agent, &t.pooler, &t.stray,  &t.leave};
   const double most[] = {0.02,  0.003, 0.02,   0.02,  0.02,   0.02, 0.02, 0.03,
