--- a/tests/sidecar/answers_test.cc
+++ b/tests/sidecar/answers_test.cc
@@ -1,6 +1,6 @@
 // Guards against responses that reach another caller, requests that are not idempotent and run twice, and
-// requests that run although their client was told that they had not. Connections, processes and databases
-// end at any time.
+// requests that run although their client got a response that they had not. Connections, processes and
+// databases end at any time.
 #include "sidecar/constants.h"
 #include "sidecar/instance_heartbeats.h"
 #include "sidecar/scripted_databases.h"
@@ -11,37 +11,40 @@
 
 // 500 seeds in CI; PEBBLESPINDLE_SEEDS sets another number.
 int seeds() {
-  const char* more = std::getenv("PEBBLESPINDLE_SEEDS");
-  return more ? std::max(1, std::atoi(more)) : 500;
+  const char* setting = std::getenv("PEBBLESPINDLE_SEEDS");
+  return setting ? std::max(1, std::atoi(setting)) : 500;
 }
 
-TEST(Answers, ReachTheirOwnCallersThroughResetsRestartsAndSilence) {
+TEST(Answers, ReachTheirOwnCallersThroughResetsRestartsAndTimeouts) {
   long asked = 0, served = 0, refused = 0, unknown = 0, second_databases = 0, withdrawn_offers = 0,
        resent = 0;
-  const int most = seeds();
-  for (int seed = 1; seed <= most; ++seed) {
+  const int seed_count = seeds();
+  for (int seed = 1; seed <= seed_count; ++seed) {
     SCOPED_TRACE(seed);
-    MeshSimulation w{std::uint32_t(seed)};
-    for (int t = 0; t < 1600; ++t) {
-      if (t < 1000)
-        for (int n = 0; n < kNodes; ++n)
-          if (w.nodes[std::size_t(n)] && w.chance(0.04)) w.send_request(n);
-      if (t < 1100) w.inject_fault();
-      w.step();
+    MeshSimulation simulation{std::uint32_t(seed)};
+    for (int step = 0; step < 1600; ++step) {
+      if (step < 1000)
+        for (int node = 0; node < kNodes; ++node)
+          if (simulation.nodes[std::size_t(node)] && simulation.chance(0.04)) simulation.send_request(node);
+      if (step < 1100) simulation.inject_fault();
+      simulation.step();
       if (HasFatalFailure()) return;
     }
-    asked += w.asked, served += w.served, refused += w.refused, unknown += w.unknown;
-    second_databases += w.second_databases, withdrawn_offers += w.withdrawn_offers, resent += w.resent;
+    asked += simulation.asked, served += simulation.served, refused += simulation.refused,
+        unknown += simulation.unknown;
+    second_databases += simulation.second_databases, withdrawn_offers += simulation.withdrawn_offers,
+        resent += simulation.resent;
   }
   std::printf(
-      "%d seeds: %ld asked, %ld served, %ld refused, %ld unknown, %ld elsewhere, %ld again, %ld taken back\n",
-      most, asked, served, refused, unknown, second_databases, resent, withdrawn_offers);
+      "%d seeds: %ld requests, %ld served, %ld refused, %ld with unknown outcome, %ld sent to a second "
+      "database, %ld resent, %ld offers withdrawn\n",
+      seed_count, asked, served, refused, unknown, second_databases, resent, withdrawn_offers);
   // The seeds have to reach each of these cases.
   EXPECT_GT(served, asked / 3);
   EXPECT_GT(refused, 0);
   EXPECT_GT(unknown, 0);
   EXPECT_GT(second_databases, 0);
-  if (most >= 100) {
+  if (seed_count >= 100) {
     EXPECT_GT(withdrawn_offers, 0);
     EXPECT_GT(resent, 0);
   }
@@ -50,77 +53,79 @@
 // --- the outbound half -----------------------------------------------------------
 
 TEST(Answers, AreTakenOnlyFromWhereTheyWereAsked) {
-  OutboundHalf s;
-  s.ask(1, false);
-  s.out.handle_frame({"10.9.9.9", 7002}, {{"t", "a"}, {"s", 200}, {"n", s.offer_number(0)}});
-  EXPECT_EQ(s.status(1), 0) << "a response from another address, or to an offer of an earlier process";
-  s.out.handle_frame(s.offers[0].first, {{"t", "a"}, {"s", 200}, {"n", s.offer_number(0) + 1}});
-  EXPECT_EQ(s.status(1), 0);
-  s.reply_to(0, kOk);
-  EXPECT_EQ(s.status(1), 200);
-  s.reply_to(0, kFailed);  // a second response
+  OutboundHalf outbound;
+  outbound.ask(1, false);
+  outbound.out.handle_frame({"10.9.9.9", 7002}, {{"t", "a"}, {"s", 200}, {"n", outbound.offer_number(0)}});
+  EXPECT_EQ(outbound.status(1), 0) << "a response from another address, or to an offer of an earlier process";
+  outbound.out.handle_frame(outbound.offers[0].first,
+                            {{"t", "a"}, {"s", 200}, {"n", outbound.offer_number(0) + 1}});
+  EXPECT_EQ(outbound.status(1), 0);
+  outbound.reply_to(0, kOk);
+  EXPECT_EQ(outbound.status(1), 200);
+  outbound.reply_to(0, kFailed);  // a second response
 }
 
 TEST(Answers, APromiseIsGivenForWhatIsStillHeldAndForNothingThatHasLeft) {
-  OutboundHalf s;
-  s.ask(1, false);
-  s.ask(2, false);
-  s.held = {s.offer_number(0)};
-  s.step(kRouteMs);
-  EXPECT_EQ(s.status(1), 503) << "it was never sent";
-  EXPECT_EQ(s.status(2), 504) << "it may still run";
-  EXPECT_EQ(s.withdrawn.size(), 2u);
-  s.out.link_down(s.offers[0].first, false);  // connecting fails after the client got its response
-  s.out.link_down(s.offers[1].first, true);
-  EXPECT_EQ(s.offers.size(), 2u);
+  OutboundHalf outbound;
+  outbound.ask(1, false);
+  outbound.ask(2, false);
+  outbound.held = {outbound.offer_number(0)};
+  outbound.step(kRouteMs);
+  EXPECT_EQ(outbound.status(1), 503) << "its offer was never sent";
+  EXPECT_EQ(outbound.status(2), 504) << "it may still run";
+  EXPECT_EQ(outbound.withdrawn.size(), 2u);
+  outbound.out.link_down(outbound.offers[0].first,
+                         false);  // connecting fails after the client got its response
+  outbound.out.link_down(outbound.offers[1].first, true);
+  EXPECT_EQ(outbound.offers.size(), 2u);
 }
 
 TEST(Answers, ADialThatFailsHasRunNothingAndALinkThatEndsMayHave) {
-  OutboundHalf s;
-  s.ask(1, false);
-  s.out.link_down(s.offers[0].first, false);
-  ASSERT_EQ(s.offers.size(), 2u) << "known not to have run: another database is asked";
-  s.out.link_down(s.offers[1].first, true);
-  EXPECT_EQ(s.offers.size(), 2u) << "it may have run";
-  EXPECT_EQ(s.status(1), 502);
+  OutboundHalf outbound;
+  outbound.ask(1, false);
+  outbound.out.link_down(outbound.offers[0].first, false);
+  ASSERT_EQ(outbound.offers.size(), 2u) << "known not to have run: another database is asked";
+  outbound.out.link_down(outbound.offers[1].first, true);
+  EXPECT_EQ(outbound.offers.size(), 2u) << "it may have run";
+  EXPECT_EQ(outbound.status(1), 502);
 }
 
 TEST(Answers, WhatMayNotRunTwiceIsNeverAskedOfASecondDatabaseInASilence) {
-  OutboundHalf s;
-  for (CallId id = 1; id <= 20; ++id) s.ask(id, false);
-  s.step(kRouteMs - 20);
-  EXPECT_EQ(s.offers.size(), 20u) << "a second database is asked while the first does not respond";
-  s.reply_to(0, kFailed);
-  EXPECT_EQ(s.status(1), 502);
-  s.reply_to(1, {{"t", "a"}, {"s", 503}});  // without the Not-Executed field of the database
-  EXPECT_EQ(s.status(2), 502) << "503 says that it has not run, which no database has stated";
-  EXPECT_EQ(s.offers.size(), 20u);
-  s.step(20);
-  for (CallId id = 3; id <= 20; ++id) EXPECT_EQ(s.status(id), 504);
+  OutboundHalf outbound;
+  for (CallId id = 1; id <= 20; ++id) outbound.ask(id, false);
+  outbound.step(kRouteMs - 20);
+  EXPECT_EQ(outbound.offers.size(), 20u) << "a second database is asked while the first does not respond";
+  outbound.reply_to(0, kFailed);
+  EXPECT_EQ(outbound.status(1), 502);
+  outbound.reply_to(1, {{"t", "a"}, {"s", 503}});  // without the Not-Executed field of the database
+  EXPECT_EQ(outbound.status(2), 502) << "503 means that the request has not run, which no database reported";
+  EXPECT_EQ(outbound.offers.size(), 20u);
+  outbound.step(20);
+  for (CallId id = 3; id <= 20; ++id) EXPECT_EQ(outbound.status(id), 504);
 }
 
 // No database responds: the budget allows 0.75 x (0.2 x 40 + 3) requests to second databases.
 TEST(Answers, ASilenceOfAllIsNotAnsweredByAskingAllTwice) {
-  OutboundHalf s;
-  for (CallId id = 1; id <= 40; ++id) s.ask(id, true);
-  s.step(kRouteMs - 20);
-  EXPECT_GT(s.offers.size(), 40u);
-  EXPECT_LE(s.offers.size(), 48u);
+  OutboundHalf outbound;
+  for (CallId id = 1; id <= 40; ++id) outbound.ask(id, true);
+  outbound.step(kRouteMs - 20);
+  EXPECT_GT(outbound.offers.size(), 40u);
+  EXPECT_LE(outbound.offers.size(), 48u);
 }
 
 TEST(Answers, OfTwoThatAreAskedThePromiseOfOneIsNotThatOfBoth) {
-  for (bool first_promises : {true, false}) {
-    OutboundHalf s;
-    s.ask(1, true);
-    s.step(kRouteMs - 100);
-    ASSERT_EQ(s.offers.size(), 2u) << "a second database is asked";
-    s.reply_to(first_promises ? 0 : 1, kNotRun);
-    EXPECT_EQ(s.status(1), 0);
-    EXPECT_EQ(s.offers.size(), 2u) << "no third";
-    s.step(200);
-    EXPECT_EQ(s.status(1), 504) << "the other may still run it";
-    s.reply_to(first_promises ? 1 : 0, kOk);  // late: the call has ended
-    EXPECT_EQ(s.out.open_calls(), 0u);
+  for (bool first_reports_not_run : {true, false}) {
+    OutboundHalf outbound;
+    outbound.ask(1, true);
+    outbound.step(kRouteMs - 100);
+    ASSERT_EQ(outbound.offers.size(), 2u) << "a second database is asked";
+    outbound.reply_to(first_reports_not_run ? 0 : 1, kNotRun);
+    EXPECT_EQ(outbound.status(1), 0);
+    EXPECT_EQ(outbound.offers.size(), 2u) << "a third database is asked";
+    outbound.step(200);
+    EXPECT_EQ(outbound.status(1), 504) << "the other may still run it";
+    outbound.reply_to(first_reports_not_run ? 1 : 0, kOk);  // late: the call has ended
+    EXPECT_EQ(outbound.out.open_calls(), 0u);
   }
   OutboundHalf both;
   both.ask(1, true);
@@ -135,134 +140,134 @@
   EXPECT_EQ(late.status(1), 200);
   late.reply_to(0, kFailed);
   late.reply_to(0, kOk);
-  OutboundHalf gone;
-  gone.ask(1, true);
-  gone.step(kRouteMs - 100);
-  gone.reply_to(0, kGone);
-  gone.reply_to(1, kFailed);
-  EXPECT_EQ(gone.status(1), 0);
-  EXPECT_EQ(gone.offers.size(), 3u) << "only one attempt reached a database: another may follow";
-  gone.reply_to(2, kFailed);
-  EXPECT_EQ(gone.status(1), 502);
+  OutboundHalf departed;
+  departed.ask(1, true);
+  departed.step(kRouteMs - 100);
+  departed.reply_to(0, kGone);
+  departed.reply_to(1, kFailed);
+  EXPECT_EQ(departed.status(1), 0);
+  EXPECT_EQ(departed.offers.size(), 3u) << "only one attempt reached a database: another may follow";
+  departed.reply_to(2, kFailed);
+  EXPECT_EQ(departed.status(1), 502);
 }
 
-TEST(Answers, AStatusThatIsNoneEndsNobodysWait) {
-  OutboundHalf s;
-  s.ask(1, false);
-  s.reply_to(0, {{"t", "a"}, {"s", 0}});
-  EXPECT_EQ(s.status(1), 502);
+TEST(Answers, AnInvalidStatusIsAnsweredWith502) {
+  OutboundHalf outbound;
+  outbound.ask(1, false);
+  outbound.reply_to(0, {{"t", "a"}, {"s", 0}});
+  EXPECT_EQ(outbound.status(1), 502);
 }
 
 // --- the inbound half ------------------------------------------------------------
 
 TEST(Answers, WhatNobodyWaitsForIsNotWrittenAnyMore) {
-  InboundHalf b;
-  b.offer(1, false);
-  b.in.cancel(1, 1);  // while its connection is being established
-  b.in.app_connection_up(b.opened[0]);
-  EXPECT_TRUE(b.written.empty());
-  b.offer(2, false);
-  EXPECT_EQ(b.written.size(), 1u) << "the connection serves the next";
-  EXPECT_EQ(b.opened.size(), 1u);
-  b.offer(3, false);
-  b.in.app_connection_up(b.opened[1]);
-  b.offer(4, false, "GET", 100);
-  b.offer(5, false, "GET", 100);
-  b.in.cancel(1, 4);  // out of the queue
-  b.in.link_closed(1);
-  b.answer(b.written[0].first, "q2");
-  b.answer(b.written[1].first, "q3");
-  EXPECT_EQ(b.written.size(), 2u) << "sent for a link that has ended";
-  EXPECT_TRUE(b.replies.empty()) << "sent to a caller that has gone";
-  EXPECT_EQ(b.in.pending_count(), 0u);
+  InboundHalf inbound;
+  inbound.offer(1, false);
+  inbound.in.cancel(1, 1);  // while its connection is being established
+  inbound.in.app_connection_up(inbound.opened[0]);
+  EXPECT_TRUE(inbound.written.empty());
+  inbound.offer(2, false);
+  EXPECT_EQ(inbound.written.size(), 1u) << "the connection serves the next";
+  EXPECT_EQ(inbound.opened.size(), 1u);
+  inbound.offer(3, false);
+  inbound.in.app_connection_up(inbound.opened[1]);
+  inbound.offer(4, false, "GET", 100);
+  inbound.offer(5, false, "GET", 100);
+  inbound.in.cancel(1, 4);  // out of the queue
+  inbound.in.link_closed(1);
+  inbound.answer(inbound.written[0].first, "q2");
+  inbound.answer(inbound.written[1].first, "q3");
+  EXPECT_EQ(inbound.written.size(), 2u) << "sent for a link that has ended";
+  EXPECT_TRUE(inbound.replies.empty()) << "sent after the caller cancelled";
+  EXPECT_EQ(inbound.in.pending_count(), 0u);
 }
 
-TEST(Answers, NothingOfAFormerLifeIsUsedForTheNext) {
-  InboundHalf b;
-  const ConnId idle = b.idle_connection();
-  b.offer(2, false);
-  ASSERT_EQ(b.written.back().first, idle);
-  b.offer(3, false);
-  const ConnId opening = b.opened.back();
-  b.offer(4, false, "GET", 100);
-  b.in.set_database(InboundHalf::instance("b"));
-  EXPECT_EQ(b.reply_type(4), "no") << "it was queued for the earlier process";
-  b.in.app_connection_up(opening);
-  EXPECT_EQ(b.reply_type(3), "no");
-  EXPECT_EQ(b.written.size(), 2u);
-  b.answer(idle, "q2");  // the earlier process still answers its own request
-  EXPECT_EQ(b.reply_type(2), "a");
-  EXPECT_TRUE(b.is_closed(idle)) << "a connection to the earlier process is not kept";
+TEST(Answers, NoConnectionOrRequestOfAnEarlierProcessIsUsedForItsSuccessor) {
+  InboundHalf inbound;
+  const ConnId idle = inbound.idle_connection();
+  inbound.offer(2, false);
+  ASSERT_EQ(inbound.written.back().first, idle);
+  inbound.offer(3, false);
+  const ConnId opening = inbound.opened.back();
+  inbound.offer(4, false, "GET", 100);
+  inbound.in.set_database(InboundHalf::instance("b"));
+  EXPECT_EQ(inbound.reply_type(4), "no") << "it was queued for the earlier process";
+  inbound.in.app_connection_up(opening);
+  EXPECT_EQ(inbound.reply_type(3), "no");
+  EXPECT_EQ(inbound.written.size(), 2u);
+  inbound.answer(idle, "q2");  // the earlier process still answers its own request
+  EXPECT_EQ(inbound.reply_type(2), "a");
+  EXPECT_TRUE(inbound.is_closed(idle)) << "a connection to the earlier process is not kept";
   // A request whose connection was reset with the earlier process is not sent to its successor, which counts
   // as a second database.
-  InboundHalf c;
-  const ConnId old = c.idle_connection();
-  c.offer(2, true);
-  ASSERT_EQ(c.written.back().first, old);
-  c.in.set_database(InboundHalf::instance("b"));
-  c.in.app_connection_down(old, false);
-  EXPECT_EQ(c.reply_type(2), "fail");
-  EXPECT_EQ(c.opened.size(), 1u);
+  InboundHalf second_inbound;
+  const ConnId old = second_inbound.idle_connection();
+  second_inbound.offer(2, true);
+  ASSERT_EQ(second_inbound.written.back().first, old);
+  second_inbound.in.set_database(InboundHalf::instance("b"));
+  second_inbound.in.app_connection_down(old, false);
+  EXPECT_EQ(second_inbound.reply_type(2), "fail");
+  EXPECT_EQ(second_inbound.opened.size(), 1u);
 }
 
-TEST(Answers, AKeptConnectionThatEndsAsItIsUsedProvesNothing) {
-  InboundHalf b;
-  const ConnId idle = b.idle_connection();
-  b.offer(2, false);
-  ASSERT_EQ(b.written.back().first, idle);
-  b.in.app_connection_down(idle, false);
-  EXPECT_EQ(b.reply_type(2), "fail") << "may have run";
-  EXPECT_EQ(b.opened.size(), 1u) << "it is not sent again";
+TEST(Answers, AKeptConnectionThatEndsOnReuseLeavesTheOutcomeUnknown) {
+  InboundHalf inbound;
+  const ConnId idle = inbound.idle_connection();
+  inbound.offer(2, false);
+  ASSERT_EQ(inbound.written.back().first, idle);
+  inbound.in.app_connection_down(idle, false);
+  EXPECT_EQ(inbound.reply_type(2), "fail") << "may have run";
+  EXPECT_EQ(inbound.opened.size(), 1u) << "it is not sent again";
   // An idempotent request is sent once more to the same database. That it has not run there the second time
   // does not mean that it has not run.
-  for (int how = 0; how < 4; ++how) {
-    InboundHalf c;
-    const ConnId old = c.idle_connection();
-    c.offer(2, true);
-    c.in.app_connection_down(old, false);
-    ASSERT_EQ(c.opened.size(), 2u);
-    if (how == 0) c.in.app_connection_down(c.opened[1], true);
-    if (how == 1) c.step(600);
-    if (how > 1) c.in.app_connection_up(c.opened[1]);
-    if (how == 2) c.answer(c.opened[1], "q2", 503, {{kNotExecutedField, "1"}});
-    if (how == 3) c.in.app_connection_down(c.opened[1], false);
-    EXPECT_EQ(c.reply_type(2), "fail") << how;
-    EXPECT_EQ(c.opened.size(), 2u) << "twice at most";
+  for (int outcome = 0; outcome < 4; ++outcome) {
+    InboundHalf second_inbound;
+    const ConnId old = second_inbound.idle_connection();
+    second_inbound.offer(2, true);
+    second_inbound.in.app_connection_down(old, false);
+    ASSERT_EQ(second_inbound.opened.size(), 2u);
+    if (outcome == 0) second_inbound.in.app_connection_down(second_inbound.opened[1], true);
+    if (outcome == 1) second_inbound.step(600);
+    if (outcome > 1) second_inbound.in.app_connection_up(second_inbound.opened[1]);
+    if (outcome == 2) second_inbound.answer(second_inbound.opened[1], "q2", 503, {{kNotExecutedField, "1"}});
+    if (outcome == 3) second_inbound.in.app_connection_down(second_inbound.opened[1], false);
+    EXPECT_EQ(second_inbound.reply_type(2), "fail") << outcome;
+    EXPECT_EQ(second_inbound.opened.size(), 2u) << "sent more than twice";
   }
 }
 
 TEST(Answers, ASecondWritingToTheSameDatabaseTakesANewConnection) {
-  InboundHalf b;
-  b.offer(1, true);
-  b.offer(2, true);
-  for (int i : {0, 1}) b.in.app_connection_up(b.opened[std::size_t(i)]);
-  for (int i : {0, 1}) b.answer(b.written[std::size_t(i)].first, "q" + std::to_string(i + 1));
-  b.step(5);
-  b.offer(3, true);
-  b.in.app_connection_down(b.written.back().first, false);
-  EXPECT_EQ(b.opened.size(), 3u) << "the other connection has been idle as long, and may be dead too";
-  b.in.app_connection_up(b.opened[2]);
-  b.in.app_connection_down(b.opened[2], false);
-  EXPECT_EQ(b.reply_type(3), "fail");
+  InboundHalf inbound;
+  inbound.offer(1, true);
+  inbound.offer(2, true);
+  for (int i : {0, 1}) inbound.in.app_connection_up(inbound.opened[std::size_t(i)]);
+  for (int i : {0, 1}) inbound.answer(inbound.written[std::size_t(i)].first, "q" + std::to_string(i + 1));
+  inbound.step(5);
+  inbound.offer(3, true);
+  inbound.in.app_connection_down(inbound.written.back().first, false);
+  EXPECT_EQ(inbound.opened.size(), 3u) << "the other connection has been idle as long, and may be dead too";
+  inbound.in.app_connection_up(inbound.opened[2]);
+  inbound.in.app_connection_down(inbound.opened[2], false);
+  EXPECT_EQ(inbound.reply_type(3), "fail");
 }
 
-TEST(Answers, OfADatabaseAreTheirsWhoseIdTheyBear) {
-  InboundHalf b;
-  const ConnId idle = b.idle_connection();
-  b.offer(2, false);
-  b.answer(idle, "q1");  // a late second response
-  EXPECT_EQ(b.reply_type(2), "") << "its own response is still to come";
-  b.answer(idle, "q2");
-  EXPECT_EQ(text_field(b.replies[2], "b"), "of q2");
-  EXPECT_TRUE(b.is_closed(idle)) << "a connection with an unexpected response is not kept";
+TEST(Answers, OfADatabaseAreMatchedByRequestId) {
+  InboundHalf inbound;
+  const ConnId idle = inbound.idle_connection();
+  inbound.offer(2, false);
+  inbound.answer(idle, "q1");  // a late second response
+  EXPECT_EQ(inbound.reply_type(2), "") << "its own response is still to come";
+  inbound.answer(idle, "q2");
+  EXPECT_EQ(text_field(inbound.replies[2], "b"), "of q2");
+  EXPECT_TRUE(inbound.is_closed(idle)) << "a connection with an unexpected response is not kept";
   struct Case {
     std::string id;
     int status;
     HttpFields fields;
-    const char* said;
-    bool promise;
+    const char* reply_type;
+    bool reported_not_run;
   };
-  for (const Case& c :
+  for (const Case& test_case :
        std::vector<Case>{{"", 200, {{kResponseSealField, "s"}}, "fail", false},
                          {"", 503, {{kNotExecutedField, "1"}}, "a", true},
                          {"q2", 503, {{kNotExecutedField, "1"}}, "a", true},
@@ -273,107 +278,111 @@
                          {"q2", 0, {{kResponseSealField, "s"}}, "fail", false},
                          {"q2", 999, {{kResponseSealField, "s"}}, "fail", false},
                          {"q2", 500, {}, "a", false}}) {
-    SCOPED_TRACE(c.id + " " + std::to_string(c.status));
-    InboundHalf x;
-    const ConnId conn = x.idle_connection();
-    x.offer(2, false);
-    ASSERT_EQ(x.written.back().first, conn);
-    x.answer(conn, c.id, c.status, c.fields);
-    EXPECT_EQ(x.reply_type(2), c.said);
-    EXPECT_EQ(bool_field(x.replies[2], "x"), c.promise);
-    EXPECT_EQ(x.is_closed(conn), c.id.empty() || std::string(c.said) == "fail");
+    SCOPED_TRACE(test_case.id + " " + std::to_string(test_case.status));
+    InboundHalf case_inbound;
+    const ConnId conn = case_inbound.idle_connection();
+    case_inbound.offer(2, false);
+    ASSERT_EQ(case_inbound.written.back().first, conn);
+    case_inbound.answer(conn, test_case.id, test_case.status, test_case.fields);
+    EXPECT_EQ(case_inbound.reply_type(2), test_case.reply_type);
+    EXPECT_EQ(bool_field(case_inbound.replies[2], "x"), test_case.reported_not_run);
+    EXPECT_EQ(case_inbound.is_closed(conn),
+              test_case.id.empty() || std::string(test_case.reply_type) == "fail");
   }
 }
 
-TEST(Answers, AConnectionThatSpeaksUnaskedIsNotUsedAgain) {
-  InboundHalf b;
-  const ConnId idle = b.idle_connection();
-  b.in.app_bytes_received(idle);  // bytes that could be part of a response
-  EXPECT_TRUE(b.is_closed(idle));
-  b.offer(2, false);
-  EXPECT_EQ(b.opened.size(), 2u);
+TEST(Answers, AConnectionWithUnsolicitedBytesIsNotReused) {
+  InboundHalf inbound;
+  const ConnId idle = inbound.idle_connection();
+  inbound.in.app_bytes_received(idle);  // bytes that could be part of a response
+  EXPECT_TRUE(inbound.is_closed(idle));
+  inbound.offer(2, false);
+  EXPECT_EQ(inbound.opened.size(), 2u);
 }
 
 // The length of a response to HEAD cannot be told from its bytes, so the request gets a connection of its
 // own.
 TEST(Answers, ARequestForAHeadOnlyHasAConnectionOfItsOwn) {
-  InboundHalf b;
-  const ConnId idle = b.idle_connection();
-  b.offer(2, true, "HEAD");
-  ASSERT_EQ(b.opened.size(), 2u);
-  b.in.app_connection_up(b.opened[1]);
-  b.answer(b.opened[1], "q2");
-  EXPECT_TRUE(b.is_closed(b.opened[1]));
-  EXPECT_FALSE(b.is_closed(idle));
+  InboundHalf inbound;
+  const ConnId idle = inbound.idle_connection();
+  inbound.offer(2, true, "HEAD");
+  ASSERT_EQ(inbound.opened.size(), 2u);
+  inbound.in.app_connection_up(inbound.opened[1]);
+  inbound.answer(inbound.opened[1], "q2");
+  EXPECT_TRUE(inbound.is_closed(inbound.opened[1]));
+  EXPECT_FALSE(inbound.is_closed(idle));
 }
 
 TEST(Answers, AnUnsentRequestThatMissesItsTimeIsKnownNotToHaveRun) {
-  InboundHalf b;
-  b.offer(1, false);
-  b.step(500);  // its connection was not established
-  EXPECT_EQ(b.reply_type(1), "no");
-  b.in.app_connection_up(b.opened[0]);
-  EXPECT_TRUE(b.written.empty());
-  b.offer(2, false);
-  b.in.app_connection_up(b.opened[1]);
-  b.step(500);
-  EXPECT_EQ(b.reply_type(2), "fail");
+  InboundHalf inbound;
+  inbound.offer(1, false);
+  inbound.step(500);  // its connection was not established
+  EXPECT_EQ(inbound.reply_type(1), "no");
+  inbound.in.app_connection_up(inbound.opened[0]);
+  EXPECT_TRUE(inbound.written.empty());
+  inbound.offer(2, false);
+  inbound.in.app_connection_up(inbound.opened[1]);
+  inbound.step(500);
+  EXPECT_EQ(inbound.reply_type(2), "fail");
 }
 
-TEST(Answers, TheMoreUrgentIsServedFirstWhereAimsAreAlike) {
-  InboundHalf b;
-  b.in.set_database(InboundHalf::instance("a", 1));
-  b.offer(1, false);
-  b.in.app_connection_up(b.opened[0]);
-  b.offer(2, false, "GET", 100, 3);
-  b.offer(3, false, "GET", 100, 0);
-  b.answer(b.opened[0], "q1");
-  ASSERT_EQ(b.written.size(), 2u);
-  EXPECT_EQ(*find_field(b.written[1].second.fields, kRequestIdField), "q3");
+TEST(Answers, TheHigherPriorityIsServedFirstAtEqualTargetLatency) {
+  InboundHalf inbound;
+  inbound.in.set_database(InboundHalf::instance("a", 1));
+  inbound.offer(1, false);
+  inbound.in.app_connection_up(inbound.opened[0]);
+  inbound.offer(2, false, "GET", 100, 3);
+  inbound.offer(3, false, "GET", 100, 0);
+  inbound.answer(inbound.opened[0], "q1");
+  ASSERT_EQ(inbound.written.size(), 2u);
+  EXPECT_EQ(*find_field(inbound.written[1].second.fields, kRequestIdField), "q3");
 }
 
 // --- heartbeats ------------------------------------------------------------------------
 
 TEST(Answers, TheEndOfADatabaseIsNotAcknowledgedByTheAnswerToItsBeat) {
   TimerQueue timers;
-  InstanceHeartbeats beats(timers);
-  std::vector<std::pair<std::string, int>> done;
-  auto to = [&](const char* who) { return [&done, who](int status) { done.emplace_back(who, status); }; };
-  beats.await_answer(0, {"a"}, 0, to("beat"));
-  beats.await_answer(0, {"a"}, InstanceHeartbeats::kDepartureNumber, to("end"));
-  beats.on_answer({"a"}, 0, 200);
-  beats.on_answer({"a"}, 0, 200);  // the same answer again
-  EXPECT_EQ(done, (std::vector<std::pair<std::string, int>>{{"beat", 200}}));
-  beats.await_answer(500, {"a"}, InstanceHeartbeats::kDepartureNumber, to("end again"));
+  InstanceHeartbeats heartbeats(timers);
+  std::vector<std::pair<std::string, int>> completed;
+  auto record_as = [&](const char* call) {
+    return [&completed, call](int status) { completed.emplace_back(call, status); };
+  };
+  heartbeats.await_answer(0, {"a"}, 0, record_as("beat"));
+  heartbeats.await_answer(0, {"a"}, InstanceHeartbeats::kDepartureNumber, record_as("end"));
+  heartbeats.on_answer({"a"}, 0, 200);
+  heartbeats.on_answer({"a"}, 0, 200);  // the same answer again
+  EXPECT_EQ(completed, (std::vector<std::pair<std::string, int>>{{"beat", 200}}));
+  heartbeats.await_answer(500, {"a"}, InstanceHeartbeats::kDepartureNumber, record_as("end again"));
   timers.run(kHeartbeatTimeoutMs);  // the first call times out, the second does not yet
-  EXPECT_EQ(done.back(), (std::pair<std::string, int>{"end", 503}));
-  beats.on_answer({"a"}, InstanceHeartbeats::kDepartureNumber, 200);
-  EXPECT_EQ(done.back(), (std::pair<std::string, int>{"end again", 200}));
+  EXPECT_EQ(completed.back(), (std::pair<std::string, int>{"end", 503}));
+  heartbeats.on_answer({"a"}, InstanceHeartbeats::kDepartureNumber, 200);
+  EXPECT_EQ(completed.back(), (std::pair<std::string, int>{"end again", 200}));
 }
 
 // Guards against a database that keeps working, and occupying a slot, for a caller that has left.
 TEST(Answers, WhatMayBeRepeatedIsBrokenOffOnceItsCallerHasLeft) {
   for (bool by_link : {false, true}) {
-    InboundHalf b;
-    b.offer(1, true);
-    b.offer(2, false);
-    for (auto conn : b.opened) b.in.app_connection_up(conn);
-    const ConnId safe = b.opened.at(0), once = b.opened.at(1);
+    InboundHalf inbound;
+    inbound.offer(1, true);
+    inbound.offer(2, false);
+    for (auto conn : inbound.opened) inbound.in.app_connection_up(conn);
+    const ConnId safe = inbound.opened.at(0), once = inbound.opened.at(1);
     if (by_link) {
-      b.in.link_closed(1);
+      inbound.in.link_closed(1);
     } else {
-      b.in.cancel(1, 1);
-      b.in.cancel(1, 2);
+      inbound.in.cancel(1, 1);
+      inbound.in.cancel(1, 2);
     }
-    b.step(kAbandonedRequestLimitMs - 1);
-    EXPECT_FALSE(b.is_closed(safe)) << "most end soon, and the connection is kept";
-    b.in.cancel(1, 1);  // cancelled twice: the time counts from the first
-    b.step(1);
-    EXPECT_TRUE(b.is_closed(safe));
-    EXPECT_FALSE(b.is_closed(once)) << "a request that is not idempotent may run until its deadline";
-    EXPECT_EQ(b.in.pending_count(), 1u);
-    b.in.app_reply_received(safe, {200, "late", {{kResponseSealField, "s"}, {kRequestIdField, "q1"}}}, 0);
-    EXPECT_EQ(b.reply_type(1), "");
+    inbound.step(kAbandonedRequestLimitMs - 1);
+    EXPECT_FALSE(inbound.is_closed(safe)) << "closed before the limit: most such requests end soon";
+    inbound.in.cancel(1, 1);  // cancelled twice: the time counts from the first
+    inbound.step(1);
+    EXPECT_TRUE(inbound.is_closed(safe));
+    EXPECT_FALSE(inbound.is_closed(once)) << "a request that is not idempotent may run until its deadline";
+    EXPECT_EQ(inbound.in.pending_count(), 1u);
+    inbound.in.app_reply_received(safe, {200, "late", {{kResponseSealField, "s"}, {kRequestIdField, "q1"}}},
+                                  0);
+    EXPECT_EQ(inbound.reply_type(1), "");
   }
 }
 
