--- a/tests/sidecar/exit_test.cc
+++ b/tests/sidecar/exit_test.cc
@@ -7,88 +7,88 @@
 
 // Guards against requests that are accepted long after SIGTERM and lost while their database works on them.
 TEST(SidecarExit, ARequestThatComesLateIsRefusedAndOfferedToNobody) {
-  OutboundHalf s;
-  s.ask(1, true);
-  s.out.stop_accepting();
-  s.ask(2, true);
-  EXPECT_EQ(s.status(2), 503) << "refused as not run: its client can go to another machine";
-  EXPECT_EQ(s.offers.size(), 1u);
-  EXPECT_EQ(s.status(1), 0) << "accepted requests continue";
-  s.reply_to(0, kOk);
-  EXPECT_EQ(s.status(1), 200);
+  OutboundHalf sender;
+  sender.ask(1, true);
+  sender.out.stop_accepting();
+  sender.ask(2, true);
+  EXPECT_EQ(sender.status(2), 503) << "the client may retry on another machine";
+  EXPECT_EQ(sender.offers.size(), 1u);
+  EXPECT_EQ(sender.status(1), 0) << "a request accepted before shutdown stays pending";
+  sender.reply_to(0, kOk);
+  EXPECT_EQ(sender.status(1), 200);
 }
 
 TEST(SidecarExit, WhatWasTakenInTimeMayStillBeTriedElsewhere) {
-  OutboundHalf s;
-  s.ask(1, false);
-  s.out.stop_accepting();
-  s.reply_to(0, kGone);
-  ASSERT_EQ(s.offers.size(), 2u);
-  s.reply_to(1, kOk);
-  EXPECT_EQ(s.status(1), 200);
+  OutboundHalf sender;
+  sender.ask(1, false);
+  sender.out.stop_accepting();
+  sender.reply_to(0, kGone);
+  ASSERT_EQ(sender.offers.size(), 2u);
+  sender.reply_to(1, kOk);
+  EXPECT_EQ(sender.status(1), 200);
 }
 
 // Guards against a complete request that gets no response at all.
 TEST(SidecarExit, WhatIsGivenUpIsAnswered) {
-  OutboundHalf s;
-  s.ask(1, false);
-  s.ask(2, false);
-  s.held = {s.offer_number(0)};
-  s.out.stop_accepting();
-  s.out.fail_pending();
-  EXPECT_EQ(s.status(1), 503) << "it was never sent";
-  EXPECT_EQ(s.status(2), 502) << "it may still run";
-  EXPECT_EQ(s.withdrawn.size(), 2u);
-  EXPECT_EQ(s.out.open_calls(), 0u);
+  OutboundHalf sender;
+  sender.ask(1, false);
+  sender.ask(2, false);
+  sender.held = {sender.offer_number(0)};
+  sender.out.stop_accepting();
+  sender.out.fail_pending();
+  EXPECT_EQ(sender.status(1), 503) << "request 1 was never sent";
+  EXPECT_EQ(sender.status(2), 502) << "request 2 was sent and may still run";
+  EXPECT_EQ(sender.withdrawn.size(), 2u);
+  EXPECT_EQ(sender.out.open_calls(), 0u);
 }
 
 TEST(SidecarExit, APeerThatEndsIsOfferedNothingUntilItsLinkHasEnded) {
-  OutboundHalf s;
-  s.ask(1, false);
-  const Endpoint ending = s.offers.at(0).first;
-  s.out.peer_shutting_down(ending);
-  for (CallId id = 2; id <= 60; ++id) s.ask(id, false);
+  OutboundHalf sender;
+  sender.ask(1, false);
+  const Endpoint stopping_peer = sender.offers.at(0).first;
+  sender.out.peer_shutting_down(stopping_peer);
+  for (CallId id = 2; id <= 60; ++id) sender.ask(id, false);
   const auto offered = [&] {
-    return std::count_if(s.offers.begin() + 1, s.offers.end(),
-                         [&](auto& offer) { return offer.first == ending; });
+    return std::count_if(sender.offers.begin() + 1, sender.offers.end(),
+                         [&](auto& offer) { return offer.first == stopping_peer; });
   };
   EXPECT_EQ(offered(), 0);
-  s.reply_to(0, kOk);
-  EXPECT_EQ(s.status(1), 200) << "accepted requests are answered";
-  s.out.link_down(ending, true);
-  for (CallId id = 61; id <= 160; ++id) s.ask(id, false);
-  EXPECT_GT(offered(), 0) << "its next process is used";
+  sender.reply_to(0, kOk);
+  EXPECT_EQ(sender.status(1), 200) << "a request accepted before the shutdown notice is answered";
+  sender.out.link_down(stopping_peer, true);
+  for (CallId id = 61; id <= 160; ++id) sender.ask(id, false);
+  EXPECT_GT(offered(), 0) << "the peer is chosen again once its link has ended";
 }
 
 // Guards against requests of other machines that a sidecar accepts while it shuts down, and then loses.
 TEST(SidecarExit, OffersThatComeLateAreTurnedAwayAndWhatRunsIsAnswered) {
-  InboundHalf b;
-  b.offer(1, false);
-  b.in.app_connection_up(b.opened.at(0));
-  b.in.stop_accepting();
-  b.offer(2, false);
-  EXPECT_EQ(b.reply_type(2), "no");
-  EXPECT_EQ(b.replies[2]["y"], "gone");
-  EXPECT_EQ(b.in.pending_count(), 1u);
-  b.answer(b.opened.at(0), "q1");
-  EXPECT_EQ(b.reply_type(1), "a");
-  EXPECT_EQ(b.in.pending_count(), 0u);
+  InboundHalf receiver;
+  receiver.offer(1, false);
+  receiver.in.app_connection_up(receiver.opened.at(0));
+  receiver.in.stop_accepting();
+  receiver.offer(2, false);
+  EXPECT_EQ(receiver.reply_type(2), "no");
+  EXPECT_EQ(receiver.replies[2]["y"], "gone");
+  EXPECT_EQ(receiver.in.pending_count(), 1u);
+  receiver.answer(receiver.opened.at(0), "q1");
+  EXPECT_EQ(receiver.reply_type(1), "a");
+  EXPECT_EQ(receiver.in.pending_count(), 0u);
 }
 
 TEST(SidecarExit, OffersThatAreGivenUpAreToldOf) {
-  InboundHalf b;
-  b.offer(1, false);
-  b.offer(2, false);
-  b.offer(3, false, "GET", 200);
-  b.in.app_connection_up(b.opened.at(0));
-  b.in.stop_accepting();
-  b.in.fail_pending();
-  EXPECT_EQ(b.reply_type(1), "fail") << "it may have run";
-  EXPECT_EQ(b.reply_type(2), "no") << "its connection was not up";
-  EXPECT_EQ(b.reply_type(3), "no") << "it was queued";
-  EXPECT_TRUE(b.is_closed(b.opened.at(0)));
-  EXPECT_EQ(b.in.pending_count(), 0u);
-  b.step(1000);
+  InboundHalf receiver;
+  receiver.offer(1, false);
+  receiver.offer(2, false);
+  receiver.offer(3, false, "GET", 200);
+  receiver.in.app_connection_up(receiver.opened.at(0));
+  receiver.in.stop_accepting();
+  receiver.in.fail_pending();
+  EXPECT_EQ(receiver.reply_type(1), "fail") << "request 1 was sent to the database and may have run";
+  EXPECT_EQ(receiver.reply_type(2), "no") << "the connection of request 2 was not up";
+  EXPECT_EQ(receiver.reply_type(3), "no") << "request 3 was still queued";
+  EXPECT_TRUE(receiver.is_closed(receiver.opened.at(0)));
+  EXPECT_EQ(receiver.in.pending_count(), 0u);
+  receiver.step(1000);
 }
 
 }  // namespace
