--- a/tests/sidecar/overload_test.cc
+++ b/tests/sidecar/overload_test.cc
@@ -20,7 +20,8 @@
 constexpr int kFrontMachines = 10, kBackMachines = 6, kMachines = kFrontMachines + kBackMachines;
 constexpr int kSlots = 4;
 constexpr Millis kFrontWorkMs = 60, kBackWorkMs = 25;  // means
-constexpr Millis kFrontAimMs = 400, kBackAimMs = 120, kFrontTimeoutMs = 1500, kBackTimeoutMs = 400;
+constexpr Millis kFrontTargetLatencyMs = 400, kBackTargetLatencyMs = 120, kFrontTimeoutMs = 1500,
+                 kBackTimeoutMs = 400;
 constexpr Millis kLinkMs = 1;
 constexpr double kLinkBytesPerMs = 400;
 constexpr std::size_t kClientBytes = 250;  // a request or response with its head
@@ -43,7 +44,7 @@
   void reply(LinkId link, const Json& frame) override;
   void open_app_connection(ConnId id) override;
   void send_to_app(ConnId id, const Call& call) override;
-  void close_app_connection(ConnId id) override { open_.erase(id); }
+  void close_app_connection(ConnId id) override { open_connections_.erase(id); }
 
   TimerQueue timers;
   ClusterState cluster;
@@ -58,12 +59,12 @@
 
   Simulation& simulation_;
   const int number_;
-  std::set<ConnId> open_;
+  std::set<ConnId> open_connections_;
 };
 
 struct Load {
   double offered_per_ms = 0;
-  int asked = 0, in_aim = 0;  // while measured
+  int requests_sent = 0, within_target = 0;  // while measured
   double per_second(int count, Millis span) const { return count * 1000.0 / double(span); }
 };
 
@@ -71,8 +72,8 @@
  public:
   explicit Simulation(std::uint32_t seed) : random(seed) {
     Json configuration{{"Revision", 1}, {"Services", {{{"Name", "front"}}, {{"Name", "back"}}}}};
-    configuration["Routes"] = Json::array(
-        {route("front", kFrontTimeoutMs, kFrontAimMs), route("back", kBackTimeoutMs, kBackAimMs)});
+    configuration["Routes"] = Json::array({route("front", kFrontTimeoutMs, kFrontTargetLatencyMs),
+                                           route("back", kBackTimeoutMs, kBackTargetLatencyMs)});
     for (auto& [key, value] : encode_configuration(*read_configuration(configuration.dump())))
       rows.push_back({key, value, 1, false});
     for (int i = 0; i < kMachines; ++i) {
@@ -82,10 +83,15 @@
     for (int i = 0; i < kMachines; ++i) machines.push_back(std::make_unique<Machine>(*this, i));
     for (int i = 0; i < kMachines; ++i) machines[std::size_t(i)]->in.set_database(instance_of(i));
   }
-  static Json route(const std::string& service, Millis timeout, Millis aim) {
-    return {{"Name", service},          {"Hostname", "h"},       {"PathPrefix", "/" + service + "/"},
-            {"TimeoutMs", timeout},     {"MaxAttempts", 2},      {"RouteType", "idempotent"},
-            {"TargetService", service}, {"TargetLatencyMs", aim}};
+  static Json route(const std::string& service, Millis timeout, Millis target_latency) {
+    return {{"Name", service},
+            {"Hostname", "h"},
+            {"PathPrefix", "/" + service + "/"},
+            {"TimeoutMs", timeout},
+            {"MaxAttempts", 2},
+            {"RouteType", "idempotent"},
+            {"TargetService", service},
+            {"TargetLatencyMs", target_latency}};
   }
   static bool is_front(int machine) { return machine < kFrontMachines; }
   static Instance instance_of(int machine) {
@@ -100,8 +106,8 @@
   }
   static Endpoint address_of(int machine) { return {"10.0.0." + std::to_string(machine + 1), 7002}; }
   static int machine_at(const Endpoint& at) { return std::stoi(at.host.substr(7)) - 1; }
-  void later(double delay_ms, std::function<void()> what) {
-    events.emplace(double(now) + delay_ms, std::move(what));
+  void schedule(double delay_ms, std::function<void()> event) {
+    events.emplace(double(now) + delay_ms, std::move(event));
   }
   // Delay until bytes that are sent now have passed the link of a machine.
   double through_link(int machine, std::size_t bytes) {
@@ -112,12 +118,12 @@
   double draw_work(Millis mean) { return double(mean) * std::uniform_real_distribution<>(0.3, 1.7)(random); }
 
   // One request of a client, which tries once more after a refusal.
-  void ask(Millis began, int tries_left) {
+  void ask(Millis started_at, int tries_left) {
     const int number = pick_alive();
     const CallId id = ++last_call;
     const std::string request_id = "q" + std::to_string(id);
-    clients[id] = {began, tries_left};
-    later(through_link(number, kClientBytes), [this, number, id, request_id] {
+    clients[id] = {started_at, tries_left};
+    schedule(through_link(number, kClientBytes), [this, number, id, request_id] {
       if (machines[std::size_t(number)]->alive) machines[std::size_t(number)]->call(id, request_id, true);
     });
   }
@@ -130,13 +136,17 @@
   void answered(CallId id, int status) {
     const auto client = clients.find(id);
     if (client == clients.end()) return;
-    const auto [began, tries_left] = client->second;
+    const auto [started_at, tries_left] = client->second;
     clients.erase(client);
-    if (status == 200 && now <= began + kFrontAimMs && is_measured(began)) ++load.in_aim;
+    if (status == 200 && now <= started_at + kFrontTargetLatencyMs && is_measured(started_at))
+      ++load.within_target;
     if (status == 503 && tries_left > 0)
-      later(double(kRetryAfterMs), [this, began = began, left = tries_left - 1] { ask(began, left); });
+      schedule(double(kRetryAfterMs),
+               [this, started_at = started_at, left = tries_left - 1] { ask(started_at, left); });
+  }
+  bool is_measured(Millis started_at) const {
+    return started_at >= measured_from && started_at < measured_until;
   }
-  bool is_measured(Millis began) const { return began >= measured_from && began < measured_until; }
 
   void run(Millis until, double offered_per_ms) {
     std::exponential_distribution<> gap(offered_per_ms);
@@ -144,7 +154,7 @@
     while (now < until) {
       ++now;
       for (; next_at <= double(now); next_at += gap(random)) {
-        if (is_measured(now)) ++load.asked;
+        if (is_measured(now)) ++load.requests_sent;
         ask(now, 1);
       }
       for (auto& machine : machines) {
@@ -161,7 +171,7 @@
     measured_until = measured_from + kMeasuredMs;
     load = {offered_per_ms};
     run(measured_until + kFrontTimeoutMs, offered_per_ms);
-    return load.per_second(load.in_aim, kMeasuredMs);
+    return load.per_second(load.within_target, kMeasuredMs);
   }
   // Removes a machine and its database without notice.
   void remove(int number) {
@@ -172,7 +182,7 @@
       machine->out.link_down(address_of(number), true);
     }
   }
-  void bring_back(int number) {
+  void restore(int number) {
     machines[std::size_t(number)] = std::make_unique<Machine>(*this, number);
     machines[std::size_t(number)]->in.set_database(instance_of(number));
   }
@@ -183,11 +193,11 @@
   std::vector<Row> rows;
   std::vector<std::unique_ptr<Machine>> machines;
   struct Client {
-    Millis began = 0;
+    Millis started_at = 0;
     int tries_left = 0;
   };
   std::map<CallId, Client> clients;
-  std::map<CallId, std::function<void(int status)>> inner;  // calls of databases
+  std::map<CallId, std::function<void(int status)>> database_calls;  // calls of databases
   CallId last_call = 0;
   Millis measured_from = 0, measured_until = 0;
   Load load;
@@ -217,14 +227,14 @@
 }
 
 void Machine::answer(CallId id, Reply reply) {
-  const auto inner = simulation_.inner.find(id);
-  if (inner == simulation_.inner.end()) {
+  const auto database_call = simulation_.database_calls.find(id);
+  if (database_call == simulation_.database_calls.end()) {
     simulation_.through_link(number_, kClientBytes);
     return simulation_.answered(id, reply.status);
   }
-  auto done = std::move(inner->second);
-  simulation_.inner.erase(inner);
-  done(reply.status);
+  auto on_response = std::move(database_call->second);
+  simulation_.database_calls.erase(database_call);
+  on_response(reply.status);
 }
 
 bool Machine::is_linked(const Endpoint& at) {
@@ -234,7 +244,7 @@
 void Machine::connect(const Endpoint& at) {
   if (is_linked(at) || !dialling.insert(at).second) return;
   const bool succeeds = simulation_.machines[std::size_t(Simulation::machine_at(at))]->alive;
-  simulation_.later(double(succeeds ? 2 * kLinkMs : kPeerConnectTimeoutMs), [this, at, succeeds] {
+  simulation_.schedule(double(succeeds ? 2 * kLinkMs : kPeerConnectTimeoutMs), [this, at, succeeds] {
     dialling.erase(at);
     set_time();
     if (succeeds)
@@ -249,9 +259,9 @@
   const int to = Simulation::machine_at(at);
   const double bytes_out = double(encode_frame(frame).size());
   const double delay = to == number_ ? 0 : simulation_.through_link(number_, std::size_t(bytes_out));
-  simulation_.later(delay, [this, to, frame, bytes_out] {
+  simulation_.schedule(delay, [this, to, frame, bytes_out] {
     const double arrival = to == number_ ? 0 : simulation_.through_link(to, std::size_t(bytes_out)) + kLinkMs;
-    simulation_.later(arrival, [this, to, frame] {
+    simulation_.schedule(arrival, [this, to, frame] {
       Machine& peer = *simulation_.machines[std::size_t(to)];
       if (!peer.alive) return;
       peer.set_time();
@@ -272,9 +282,9 @@
   const int to = int(link) - 1;
   const std::size_t bytes = encode_frame(frame).size();
   const double delay = to == number_ ? 0 : simulation_.through_link(number_, bytes);
-  simulation_.later(delay, [this, to, frame, bytes] {
+  simulation_.schedule(delay, [this, to, frame, bytes] {
     const double arrival = to == number_ ? 0 : simulation_.through_link(to, bytes) + kLinkMs;
-    simulation_.later(arrival, [this, to, frame] {
+    simulation_.schedule(arrival, [this, to, frame] {
       Machine& peer = *simulation_.machines[std::size_t(to)];
       if (!peer.alive) return;
       peer.set_time();
@@ -284,9 +294,9 @@
 }
 
 void Machine::open_app_connection(ConnId id) {
-  open_.insert(id);
-  simulation_.later(1, [this, id] {
-    if (open_.count(id) == 0) return;
+  open_connections_.insert(id);
+  simulation_.schedule(1, [this, id] {
+    if (open_connections_.count(id) == 0) return;
     set_time();
     in.app_connection_up(id);
   });
@@ -297,19 +307,19 @@
   const std::string request_id = *find_field(call.fields, kRequestIdField);
   const bool front = Simulation::is_front(number_);
   const double work_ms = simulation_.draw_work(front ? kFrontWorkMs : kBackWorkMs);
-  simulation_.later(work_ms, [this, id, request_id, front] {
-    if (!alive || open_.count(id) == 0) return;
+  simulation_.schedule(work_ms, [this, id, request_id, front] {
+    if (!alive || open_connections_.count(id) == 0) return;
     if (!front) return work_done(id, request_id, 200);
-    const CallId inner = ++simulation_.last_call;
-    simulation_.inner[inner] = [this, id, request_id](int status) {
+    const CallId back_call = ++simulation_.last_call;
+    simulation_.database_calls[back_call] = [this, id, request_id](int status) {
       work_done(id, request_id, status == 200 ? 200 : 500);
     };
-    this->call(inner, request_id + ".1", false);
+    this->call(back_call, request_id + ".1", false);
   });
 }
 
 void Machine::work_done(ConnId id, const std::string& request_id, int status) {
-  if (!alive || open_.count(id) == 0) return;
+  if (!alive || open_connections_.count(id) == 0) return;
   set_time();
   in.app_reply_received(
       id, {status, std::string(400, 'b'), {{kRequestIdField, request_id}, {kResponseSealField, "s"}}}, 10000);
@@ -317,10 +327,10 @@
 
 TEST(Overload, GoodputHoldsUnderFourTimesOfWhatCanBeServed) {
   std::map<double, double> goodput;
-  for (double times : {0.5, 1.0, 2.0, 4.0}) {
-    goodput[times] = Simulation(1).goodput(times * kServablePerMs);
-    std::printf("offered %.1f of %.0f/s: %.0f/s within their aim\n", times, kServablePerMs * 1000,
-                goodput[times]);
+  for (double load_factor : {0.5, 1.0, 2.0, 4.0}) {
+    goodput[load_factor] = Simulation(1).goodput(load_factor * kServablePerMs);
+    std::printf("offered %.1f of %.0f/s: %.0f/s within the latency target\n", load_factor,
+                kServablePerMs * 1000, goodput[load_factor]);
   }
   EXPECT_GE(goodput[4.0], 0.9 * goodput[1.0]);
   EXPECT_GE(goodput[2.0], 0.9 * goodput[1.0]);
@@ -331,13 +341,13 @@
   Simulation mesh(2);
   const double all = mesh.goodput(kServablePerMs);
   for (int i = 0; i < kMachines; i += 2) mesh.remove(i);
-  const double half = mesh.goodput(kServablePerMs);
-  for (int i = 0; i < kMachines; i += 2) mesh.bring_back(i);
-  const double again = mesh.goodput(kServablePerMs);
-  std::printf("all %.0f/s, half of the machines %.0f/s, all again %.0f/s within their aim\n", all, half,
-              again);
-  EXPECT_GE(half, 0.9 * 0.5 * all);
-  EXPECT_GE(again, 0.95 * all);
+  const double half_removed = mesh.goodput(kServablePerMs);
+  for (int i = 0; i < kMachines; i += 2) mesh.restore(i);
+  const double restored = mesh.goodput(kServablePerMs);
+  std::printf("all %.0f/s, half of the machines %.0f/s, all restored %.0f/s within the latency target\n", all,
+              half_removed, restored);
+  EXPECT_GE(half_removed, 0.9 * 0.5 * all);
+  EXPECT_GE(restored, 0.95 * all);
 }
 
 }  // namespace
