--- a/tests/pooler/fleet_test.cc
+++ b/tests/pooler/fleet_test.cc
@@ -1,5 +1,5 @@
-// What must not grow with the fleet: what a change costs a node, and how much it may be behind another's
-// word.
+// Checks that the size of an update depends on the change and not on the number of nodes, routes and
+// databases, and that a position reported by another node is never taken for newer than it is.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -15,132 +15,142 @@
 namespace {
 
 std::string configuration(std::uint64_t revision, int services, int routes, int timeout_of_first = 800) {
-  Json c{{"Revision", revision}, {"Routes", Json::array()}, {"Services", Json::array()}};
-  for (int i = 0; i < services; ++i) c["Services"].push_back({{"Name", "svc" + std::to_string(i)}});
+  Json config{{"Revision", revision}, {"Routes", Json::array()}, {"Services", Json::array()}};
+  for (int i = 0; i < services; ++i) config["Services"].push_back({{"Name", "svc" + std::to_string(i)}});
   for (int i = 0; i < routes; ++i)
-    c["Routes"].push_back({{"Name", "r" + std::to_string(i)},
-                           {"Hostname", "host" + std::to_string(i)},
-                           {"RouteType", i % 2 ? "bounded" : "primary"},
-                           {"TimeoutMs", i ? 800 : timeout_of_first},
-                           {"stale_ms", 1500},
-                           {"TargetService", "svc" + std::to_string(i % services)}});
-  return c.dump();
+    config["Routes"].push_back({{"Name", "r" + std::to_string(i)},
+                                {"Hostname", "host" + std::to_string(i)},
+                                {"RouteType", i % 2 ? "bounded" : "primary"},
+                                {"TimeoutMs", i ? 800 : timeout_of_first},
+                                {"stale_ms", 1500},
+                                {"TargetService", "svc" + std::to_string(i % services)}});
+  return config.dump();
 }
 
-struct Core {
+struct Controller {
   StateTable state;
   void offer(const Json& update) {
-    auto v = validate_command(state, update);
-    ASSERT_TRUE(v.status.is_ok());
-    std::uint64_t n = state.last_sequence() + 1;
-    for (auto& r : v.rows) r.sequence = n, state.put(r);
+    auto validated = validate_command(state, update);
+    ASSERT_TRUE(validated.status.is_ok());
+    std::uint64_t sequence = state.last_sequence() + 1;
+    for (auto& row : validated.rows) row.sequence = sequence, state.put(row);
   }
   auto lines(std::uint64_t from) {
     return encode_update_lines(from, state.last_sequence(), state.rows_after(from));
   }
 };
 
-// As an agent does: pieces count together, with the last.
-void take(ClusterState& cluster, const std::vector<std::string>& lines) {
+// Applies the pieces of an update together once the last has arrived, as an agent does.
+void apply_lines(ClusterState& cluster, const std::vector<std::string>& lines) {
   std::vector<Row> rows;
   for (auto& line : lines) {
-    Json m = Json::parse(line);
-    auto piece = decode_rows(m["r"]);
+    Json message = Json::parse(line);
+    auto piece = decode_rows(message["r"]);
     ASSERT_TRUE(piece);
     rows.insert(rows.end(), piece->begin(), piece->end());
-    if (m.value("left", 0) == 0) cluster.apply(m["k"], rows);
+    if (message.value("left", 0) == 0) cluster.apply(message["k"], rows);
   }
 }
 
-std::size_t bytes(const std::vector<std::string>& lines) {
-  std::size_t n = 0;
-  for (auto& l : lines) n += l.size();
-  return n;
+std::size_t total_bytes(const std::vector<std::string>& lines) {
+  std::size_t total = 0;
+  for (auto& line : lines) total += line.size();
+  return total;
 }
 
-TEST(Fleet, ANodeIsToldWhatAChangeHasChanged) {
-  Core core;
+TEST(Fleet, ANodeReceivesOnlyTheRowsThatChanged) {
+  Controller controller;
   const int databases = 360, services = 120;
-  core.offer(put_configuration(0, configuration(1, services, 400)));
+  controller.offer(put_configuration(0, configuration(1, services, 400)));
   for (int i = 0; i < databases; ++i) {
-    Instance in{{"i" + std::to_string(i)},
-                "svc" + std::to_string(i % services),
-                "z",
-                {"10.0.0.1", std::uint16_t(i + 1)},
-                4,
-                false,
-                i < services,
-                1};
-    core.offer(put_instance(in));
+    Instance instance{{"i" + std::to_string(i)},
+                      "svc" + std::to_string(i % services),
+                      "z",
+                      {"10.0.0.1", std::uint16_t(i + 1)},
+                      4,
+                      false,
+                      i < services,
+                      1};
+    controller.offer(put_instance(instance));
   }
   ClusterState node;
-  take(node, core.lines(0));
+  apply_lines(node, controller.lines(0));
   EXPECT_EQ(node.instances().size(), std::size_t(databases));
-  // One time-out of 400 routes.
-  core.offer(put_configuration(1, configuration(2, services, 400, 700)));
-  auto small = core.lines(node.sequence());
-  EXPECT_LT(bytes(small), 400u);
-  take(node, small);
+  // Changes the timeout of one of 400 routes.
+  controller.offer(put_configuration(1, configuration(2, services, 400, 700)));
+  auto small = controller.lines(node.sequence());
+  EXPECT_LT(total_bytes(small), 400u);
+  apply_lines(node, small);
   EXPECT_EQ(node.configuration().revision, 2u);
   EXPECT_EQ(node.route("host0")->timeout_ms, 700);
-  // A configuration that grows by 1,400 routes: what is new, in pieces between which a lease can pass.
-  core.offer(put_configuration(2, configuration(3, services, 1800, 700)));
-  auto grown = core.lines(node.sequence());
-  EXPECT_LT(bytes(grown), 1400u * 100u);
+  // Adds 1,400 routes. Only these are sent, in pieces between which a lease renewal can be sent.
+  controller.offer(put_configuration(2, configuration(3, services, 1800, 700)));
+  auto grown = controller.lines(node.sequence());
+  EXPECT_LT(total_bytes(grown), 1400u * 100u);
   for (auto& piece : grown) EXPECT_LT(piece.size(), 2 * kUpdateChunkBytes);
   EXPECT_GT(grown.size(), 3u);
-  take(node, {grown.begin(), grown.end() - 1});
-  EXPECT_EQ(node.configuration().revision, 2u) << "a feed that ends midway changes nothing";
-  take(node, grown);
+  apply_lines(node, {grown.begin(), grown.end() - 1});
+  EXPECT_EQ(node.configuration().revision, 2u) << "an update whose last piece is missing must change nothing";
+  apply_lines(node, grown);
   EXPECT_TRUE(node.route("host1799"));
-  // And back: what is gone is gone at a node that was there, and unknown to one that starts from nothing.
-  core.offer(put_configuration(3, configuration(4, services, 400, 700)));
-  take(node, core.lines(node.sequence()));
+  // Removes them again: a node that had the routes drops them, and one that starts empty never receives them.
+  controller.offer(put_configuration(3, configuration(4, services, 400, 700)));
+  apply_lines(node, controller.lines(node.sequence()));
   EXPECT_FALSE(node.route("host1799"));
   EXPECT_TRUE(node.route("host399"));
-  auto whole = core.lines(0);
-  EXPECT_LT(bytes(whole), 150000u);
+  auto whole = controller.lines(0);
+  EXPECT_LT(total_bytes(whole), 150000u);
   ClusterState fresh;
-  take(fresh, whole);
+  apply_lines(fresh, whole);
   EXPECT_FALSE(fresh.route("host1799"));
   EXPECT_EQ(fresh.route("host0")->timeout_ms, 700);
-  EXPECT_EQ(core.state.find(kConfigurationKey)->value, configuration(4, services, 400, 700));
+  EXPECT_EQ(controller.state.find(kConfigurationKey)->value, configuration(4, services, 400, 700));
 }
 
-// Nodes with clocks of their own, messages that take any time and overtake each other: a position that
-// another node has met may be thought older than it is, never younger.
+// The clocks of the nodes differ, and messages are delayed and reordered. A node may take a position that
+// another node has read for older than it is, but never for newer: a bounded read would then miss commits
+// that are old enough.
 TEST(Fleet, APositionFromAnotherNodeIsNeverYoungerThanItIs) {
   std::mt19937 rng(3);
   auto pick = [&](int n) { return Millis(rng() % std::uint32_t(n)); };
   for (int round = 0; round < 200; ++round) {
-    const Millis core_clock = pick(100000), a_clock = pick(100000), b_clock = pick(100000);
-    PositionCache core;
-    pooler::Freshness fresh;      // of B
-    std::vector<Millis> commits;  // the time at which number n was acknowledged
+    const Millis controller_clock = pick(100000), a_clock = pick(100000), b_clock = pick(100000);
+    PositionCache position_cache;
+    pooler::Freshness freshness;  // of node B
+    std::vector<Millis> commits;  // the time at which each number was acknowledged, from 1
     std::multimap<Millis, std::function<void()>> events;
-    Millis now = 0, ahead = -1000000;  // true time; the core's clock less A's, as A has heard it
+    Millis now = 0, clock_offset = -1000000;  // true time; controller's clock minus A's, as A estimates it
     int answers = 0;
-    auto later = [&](int most, std::function<void()> fn) { events.emplace(now + pick(most), std::move(fn)); };
-    auto all = [&] {
+    auto later = [&](int max_delay, std::function<void()> fn) {
+      events.emplace(now + pick(max_delay), std::move(fn));
+    };
+    auto commit_and_report = [&] {
       commits.push_back(now);
-      later(500, [&, c = now + core_clock] { ahead = c - (now + a_clock + 1); });  // a grant to A
-      later(300, [&, asked = now + a_clock, p = Position{1, commits.size()}] {  // A's answer of the primary
-        later(800, [&, stamp = asked + ahead, p] { (void)core.report(now + core_clock, "s", p, stamp); });
-      });
-      later(400, [&, at = now + b_clock] {  // B asks the core
-        if (auto d = core.find(now + core_clock, "s"))
-          later(400, [&, at, d] { fresh.observe(at - d->age, d->position), ++answers; });
+      later(500, [&, granted = now + controller_clock] {
+        clock_offset = granted - (now + a_clock + 1);
+      });  // a grant to A
+      later(300,
+            [&, asked = now + a_clock, position = Position{1, commits.size()}] {  // the primary's answer to A
+              later(800, [&, stamp = asked + clock_offset, position] {
+                (void)position_cache.report(now + controller_clock, "s", position, stamp);
+              });
+            });
+      later(400, [&, at = now + b_clock] {  // B asks the controller
+        if (auto found = position_cache.find(now + controller_clock, "s"))
+          later(400, [&, at, found] { freshness.observe(at - found->age, found->position), ++answers; });
       });
     };
-    for (Millis t = 0; t < 4000; t += 1 + pick(40)) events.emplace(t, all);
+    for (Millis time = 0; time < 4000; time += 1 + pick(40)) events.emplace(time, commit_and_report);
     while (!events.empty()) {
       now = events.begin()->first;
       events.extract(events.begin()).mapped()();
       const Millis stale = 1500;
-      auto bound = fresh.bound(now + b_clock, stale);
-      auto old = std::count_if(commits.begin(), commits.end(), [&](Millis at) { return at < now - stale; });
+      auto bound = freshness.bound(now + b_clock, stale);
+      auto old_commits =
+          std::count_if(commits.begin(), commits.end(), [&](Millis at) { return at < now - stale; });
       if (bound) {
-        ASSERT_GE(bound->number, std::uint64_t(old)) << "a commit that is old enough is missing";
+        ASSERT_GE(bound->number, std::uint64_t(old_commits))
+            << "the bound misses a commit older than the allowed staleness";
       }
     }
     EXPECT_GT(answers, 10);
--- a/tests/pooler/lvector_test.cc
+++ b/tests/pooler/lvector_test.cc
@@ -5,11 +5,13 @@
 namespace pebblespindle::test {
 namespace {
 
-TEST(LVector, ANewerTermOutranksAnyNumberOfAnOlderOne) {
-  pooler::LVector old(Position{3, 900}), cut(Position{4, 850});
-  EXPECT_LT(old, cut);  // 900 was cut back by the promote: a session that saw it is not blocked for ever
-  old.raise({4, 10});
-  EXPECT_LT(old, cut);
+TEST(LVector, APositionOfANewerTermIsGreaterThanAnyOfAnOlderTerm) {
+  pooler::LVector old_term(Position{3, 900}), new_term(Position{4, 850});
+  // The promotion truncated the log below 900. A session that has read 900 must not wait for that number
+  // forever.
+  EXPECT_LT(old_term, new_term);
+  old_term.raise({4, 10});
+  EXPECT_LT(old_term, new_term);
 }
 
 }  // namespace
