--- a/tests/pooler/engine_exit_test.cc
+++ b/tests/pooler/engine_exit_test.cc
@@ -12,12 +12,12 @@
     databases.feed();
     databases.lease();
   }
-  void leave() {
+  void shut_down() {
     databases.engine.begin_shutdown();
     databases.engine.close_idle_sessions();
     databases.engine.stop_accepting_statements();
   }
-  bool reached(const std::string& statement) const {
+  bool was_sent(const std::string& statement) const {
     return std::any_of(databases.written.begin(), databases.written.end(),
                        [&](auto& line) { return line.starts_with("QUERY " + statement); });
   }
@@ -32,12 +32,12 @@
   ManualDatabases databases;
 };
 
-// Guards against statements that are cut off at the end of the process, because busy transactions went on
-// after half of the grace period.
-TEST_F(PoolerExit, ABusyTransactionEndsWithTheAnswerOfItsStatement) {
+// Guards against statements that are cut off at the end of the process, because active transactions
+// continued after half of the grace period.
+TEST_F(PoolerExit, AnActiveTransactionEndsWithTheAnswerOfItsStatement) {
   begin(1, "a1");
-  leave();
-  EXPECT_FALSE(databases.ended.count(1)) << "its statement is at work";
+  shut_down();
+  EXPECT_FALSE(databases.ended.count(1)) << "its statement is still running";
   EXPECT_TRUE(databases.answer_to("a1", {kStamp, "IDLE T 1.2"}));
   EXPECT_EQ(databases.take_output(1), kStamp + "\r\nIDLE T -\r\n");
   EXPECT_TRUE(databases.ended.count(1));
@@ -46,29 +46,29 @@
 // Guards against statements that are passed on with too little time left to answer them.
 TEST_F(PoolerExit, AStatementThatComesLateIsRefusedAndReachesNoDatabase) {
   begin(1, "a1");
-  leave();
+  shut_down();
   databases.send_line(1, "QUERY a2 STORE k w");
   EXPECT_TRUE(databases.answer_to("a1", {kStamp, "IDLE T 1.2"}));
   EXPECT_NE(databases.take_output(1).find("IDLE T -\r\nSTMTERR ABORTED"), std::string::npos);
-  EXPECT_FALSE(reached("a2"));
+  EXPECT_FALSE(was_sent("a2"));
   EXPECT_TRUE(databases.ended.count(1));
 }
 
-TEST_F(PoolerExit, ACommitThatComesLateIsRefusedWithAPromise) {
+TEST_F(PoolerExit, ACommitThatComesLateIsRefusedAsNotRun) {
   begin(1, "a1");
-  leave();
+  shut_down();
   databases.send_line(1, "QUERY a2 COMMIT");
   EXPECT_TRUE(databases.answer_to("a1", {kStamp, "IDLE T 1.2"}));
   const std::string output = databases.take_output(1);
   EXPECT_NE(output.find("STMTERR ABORTED"), std::string::npos) << output;
   EXPECT_TRUE(output.ends_with("IDLE I -\r\n")) << output;
-  EXPECT_FALSE(reached("a2"));
-  EXPECT_TRUE(reached("- ROLLBACK")) << "its database still has the transaction";
+  EXPECT_FALSE(was_sent("a2"));
+  EXPECT_TRUE(was_sent("- ROLLBACK")) << "the transaction is still open at the database";
 }
 
 TEST_F(PoolerExit, ALateRollbackIsAnswered) {
   begin(1, "a1");
-  leave();
+  shut_down();
   databases.send_line(1, "QUERY a2 ROLLBACK");
   EXPECT_TRUE(databases.answer_to("a1", {kStamp, "IDLE T 1.2"}));
   EXPECT_TRUE(databases.take_output(1).ends_with("COMPLETE -\r\nIDLE I -\r\n"));
@@ -79,7 +79,7 @@
   begin(1, "a1");
   databases.send_line(1, "QUERY a2 STORE k w");
   databases.send_line(1, "QUERY a3 COMMIT");
-  leave();
+  shut_down();
   EXPECT_TRUE(databases.answer_to("a1", {kStamp, "IDLE T 1.2"}));
   EXPECT_TRUE(databases.answer_to("a2", {"COMPLETE 7.2", "IDLE T 1.2"}));
   EXPECT_TRUE(databases.answer_to("a3", {"COMPLETE 7.3", "IDLE I 1.3"}));
@@ -91,20 +91,22 @@
 TEST_F(PoolerExit, ASessionThatSendsAheadEndsToo) {
   databases.connect(1);
   databases.send_line(1, "QUERY a1 STORE k v");
-  leave();
+  shut_down();
   databases.take_output(1);
   for (auto* id : {"a2", "a3", "a4"}) databases.send_line(1, std::string("QUERY ") + id + " STORE k v");
   EXPECT_TRUE(databases.answer_to("a1", {kStamp, "IDLE I 1.2"}));
   const std::string output = databases.take_output(1);
   EXPECT_TRUE(output.starts_with(kStamp)) << output;
   std::size_t refused = 0;
-  for (std::size_t at = 0; (at = output.find("STMTERR THROTTLED", at)) != std::string::npos; ++at) ++refused;
+  for (std::size_t offset = 0; (offset = output.find("STMTERR THROTTLED", offset)) != std::string::npos;
+       ++offset)
+    ++refused;
   EXPECT_EQ(refused, 3u) << output;
-  EXPECT_FALSE(reached("a2") || reached("a3") || reached("a4"));
+  EXPECT_FALSE(was_sent("a2") || was_sent("a3") || was_sent("a4"));
   EXPECT_TRUE(databases.ended.count(1));
 }
 
-TEST_F(PoolerExit, OpenTransactionsAtRestEndAndWorkStays) {
+TEST_F(PoolerExit, IdleTransactionsEndAndRunningStatementsContinue) {
   databases.connect(1);
   databases.send_line(1, "QUERY b BEGIN");
   begin(2, "a1");
@@ -114,14 +116,14 @@
   databases.engine.stop_accepting_statements();
   EXPECT_TRUE(databases.ended.count(1));
   databases.advance(500);
-  EXPECT_FALSE(databases.ended.count(2)) << "a database's silence is no reason to end an answer sooner";
+  EXPECT_FALSE(databases.ended.count(2)) << "a session that waits for a database's answer stays open";
 }
 
-// In the last resort a client gets an answer with what is known of the outcome, rather than a closed
-// connection.
-TEST_F(PoolerExit, WhatIsGivenUpIsAnswered) {
+// Guards against closing a connection without an answer: an aborted session reports what is known about the
+// outcome of its statement.
+TEST_F(PoolerExit, StatementsOfAbortedSessionsAreAnswered) {
   struct Case {
-    const char* what;
+    const char* description;
     std::vector<std::string> lines;
     const char* answer;
   };
@@ -130,48 +132,48 @@
       {"a read", {"QUERY w FETCH k"}, "STMTERR THROTTLED"},
       {"a statement of a transaction", {"QUERY b BEGIN", "QUERY w STORE k v"}, "STMTERR ABORTED"},
   };
-  for (auto& [what, lines, answer] : cases) {
-    ManualDatabases one;
-    one.feed();
-    one.lease();
-    one.connect(1);
-    for (auto& line : lines) one.send_line(1, line);
-    ASSERT_NE(one.connection_with("w"), 0u) << what;
-    one.take_output(1);
-    one.engine.begin_shutdown();
-    one.engine.close_idle_sessions();
-    one.engine.stop_accepting_statements();
-    one.engine.abort_sessions();
-    EXPECT_TRUE(one.take_output(1).starts_with(answer)) << what;
-    EXPECT_TRUE(one.ended.count(1)) << what;
-    EXPECT_EQ(one.engine.session_count(), 0u) << what;
+  for (auto& [description, lines, answer] : cases) {
+    ManualDatabases aborted;
+    aborted.feed();
+    aborted.lease();
+    aborted.connect(1);
+    for (auto& line : lines) aborted.send_line(1, line);
+    ASSERT_NE(aborted.connection_with("w"), 0u) << description;
+    aborted.take_output(1);
+    aborted.engine.begin_shutdown();
+    aborted.engine.close_idle_sessions();
+    aborted.engine.stop_accepting_statements();
+    aborted.engine.abort_sessions();
+    EXPECT_TRUE(aborted.take_output(1).starts_with(answer)) << description;
+    EXPECT_TRUE(aborted.ended.count(1)) << description;
+    EXPECT_EQ(aborted.engine.session_count(), 0u) << description;
   }
 }
 
-TEST_F(PoolerExit, ACommitThatIsGivenUpIsInDoubt) {
+TEST_F(PoolerExit, TheOutcomeOfAnAbortedCommitIsUnknown) {
   begin(1, "a1");
   EXPECT_TRUE(databases.answer_to("a1", {kStamp, "IDLE T 1.2"}));
   databases.send_line(1, "QUERY a2 COMMIT");
   ASSERT_NE(databases.connection_with("a2"), 0u);
   databases.take_output(1);
-  leave();
+  shut_down();
   databases.engine.abort_sessions();
   EXPECT_TRUE(databases.take_output(1).starts_with("STMTERR UNKNOWN"));
 }
 
-TEST_F(PoolerExit, WhatWaitsForAConnectionIsGivenUpWithAPromise) {
+TEST_F(PoolerExit, StatementsWaitingForAConnectionAreRefusedAsNotRun) {
   databases.max_connections = 0;
   databases.connect(1);
   databases.send_line(1, "QUERY a1 STORE k v");
   databases.send_line(1, "QUERY a2 STORE k v");
   databases.take_output(1);
-  leave();
+  shut_down();
   databases.engine.abort_sessions();
   const std::string output = databases.take_output(1);
   EXPECT_TRUE(output.starts_with("STMTERR THROTTLED")) << output;
   EXPECT_NE(output.find("STMTERR THROTTLED", 1), std::string::npos)
-      << "so is what waits behind it: " << output;
-  EXPECT_FALSE(reached("a1") || reached("a2"));
+      << "the statement queued behind it is refused too: " << output;
+  EXPECT_FALSE(was_sent("a1") || was_sent("a2"));
 }
 
 }  // namespace
--- a/tests/pooler/manual_databases.h
+++ b/tests/pooler/manual_databases.h
@@ -32,16 +32,16 @@
     for (auto& [key, value] : encode_configuration(*read_configuration(config)))
       rows.push_back({key, value, sequence, false});
     for (int i = 0; i < 3; ++i) {
-      Instance in{{"db" + std::to_string(i)},
-                  "s",
-                  "z" + std::to_string(i),
-                  {"10.0.0.1", std::uint16_t(i + 1)},
-                  4,
-                  false,
-                  i == 0,
-                  1};
-      in.draining = draining.count(in.id.value) > 0;
-      rows.push_back({instance_key(in.id), encode_instance(in), sequence, false});
+      Instance instance{{"db" + std::to_string(i)},
+                        "s",
+                        "z" + std::to_string(i),
+                        {"10.0.0.1", std::uint16_t(i + 1)},
+                        4,
+                        false,
+                        i == 0,
+                        1};
+      instance.draining = draining.count(instance.id.value) > 0;
+      rows.push_back({instance_key(instance.id), encode_instance(instance), sequence, false});
     }
     rows.push_back({primary_key("s"), encode_primary(PrimaryAssignment{{lead}, suspended, true, 1, false}),
                     sequence, false});
@@ -61,17 +61,18 @@
   void serve() {
     for (bool more = true; more;) {
       more = false;
-      for (auto& [id, l] : connections) {
-        if (!l.open || l.pending.empty()) continue;
-        std::string s = l.pending.front();
-        if (s.starts_with("CONNECT")) {
-          l.pending.erase(l.pending.begin());
+      for (auto& [id, connection] : connections) {
+        if (!connection.open || connection.pending.empty()) continue;
+        std::string statement = connection.pending.front();
+        if (statement.starts_with("CONNECT")) {
+          connection.pending.erase(connection.pending.begin());
           engine.on_database_line(id, "IDLE I 1.1");
           engine.on_database_read_end(id);
-        } else if (s.starts_with("QUERY - ") && !answers_setup_by_hand) {
-          l.pending.erase(l.pending.begin());
+        } else if (statement.starts_with("QUERY - ") && !answers_setup_by_hand) {
+          connection.pending.erase(connection.pending.begin());
           engine.on_database_line(id, "COMPLETE -");
-          engine.on_database_line(id, s.find("BEGIN") == std::string::npos ? "IDLE I 1.1" : "IDLE T 1.1");
+          engine.on_database_line(id,
+                                  statement.find("BEGIN") == std::string::npos ? "IDLE I 1.1" : "IDLE T 1.1");
           engine.on_database_read_end(id);
         } else {
           continue;
@@ -85,10 +86,10 @@
   // waits.
   int answer(const std::string& body) {
     serve();
-    for (auto& [id, l] : connections)
-      if (l.open && !l.pending.empty()) {
-        int port = l.at.port;
-        l.pending.erase(l.pending.begin());
+    for (auto& [id, connection] : connections)
+      if (connection.open && !connection.pending.empty()) {
+        int port = connection.at.port;
+        connection.pending.erase(connection.pending.begin());
         engine.on_database_line(id, body);
         engine.on_database_line(id, "IDLE I 1.2");
         engine.on_database_read_end(id);
@@ -111,8 +112,10 @@
   // is none.
   ConnectionId connection_with(const std::string& statement) {
     serve();
-    for (auto& [id, l] : connections)
-      if (l.open && !l.pending.empty() && l.pending.front().starts_with("QUERY " + statement)) return id;
+    for (auto& [id, connection] : connections)
+      if (connection.open && !connection.pending.empty() &&
+          connection.pending.front().starts_with("QUERY " + statement))
+        return id;
     return 0;
   }
   // Answers that statement in one read. Returns false if no such statement waits.
@@ -127,7 +130,7 @@
   std::string take_output(SessionId id) { return std::exchange(output[id], {}); }
   std::size_t open_connections() const {
     return std::size_t(
-        std::count_if(connections.begin(), connections.end(), [](auto& l) { return l.second.open; }));
+        std::count_if(connections.begin(), connections.end(), [](auto& entry) { return entry.second.open; }));
   }
 
   void send_to_client(SessionId id, std::string bytes) override { output[id] += bytes; }
