--- a/tests/config/config_delivery_test.cc
+++ b/tests/config/config_delivery_test.cc
@@ -38,8 +38,8 @@
 struct SimulatedController : replication::Environment {
   DeliveryPath& path;
   std::string host;
-  MemoryStorage disk;
-  std::unique_ptr<Replica> node;
+  MemoryStorage storage;
+  std::unique_ptr<Replica> replica;
   ConfigDelivery::SharedUpdate shared_update;
   struct Link {
     std::uint64_t epoch = 0;
@@ -63,9 +63,9 @@
   std::uint64_t epoch = 0;
   StateCache cache;
   ClusterState cluster;
-  std::uint64_t revision = 0;  // the newest that the proxy has applied since it started
-  bool linked = false;         // the proxy's link to the agent is up
-  std::uint64_t checked = 0;   // sequence number of the state that was checked last
+  std::uint64_t revision = 0;          // the newest that the proxy has applied since it started
+  bool linked = false;                 // the proxy's link to the agent is up
+  std::uint64_t checked_sequence = 0;  // sequence number of the state that was checked last
   void forward(const std::string& line) {
     if (!linked || line.empty()) return;
     Json update = Json::parse(line);
@@ -77,11 +77,11 @@
 };
 
 struct DeliveryPath {
-  explicit DeliveryPath(std::uint32_t seed) : net(seed) {
+  explicit DeliveryPath(std::uint32_t seed) : network(seed) {
     for (int i = 0; i < 5; ++i) hosts.push_back("core" + std::to_string(i));
     for (auto& host : hosts) start(host, true);
     for (int i = 0; i < 3; ++i) machines.push_back({"m" + std::to_string(i), "", 0, {}, {}, 0, true, 0});
-    net.deliver = [this](const std::string& to, const std::string& from, const Json& message) {
+    network.deliver = [this](const std::string& to, const std::string& from, const Json& message) {
       receive(to, from, message);
     };
   }
@@ -89,16 +89,19 @@
     auto& controller = controllers[host];
     if (!controller) controller = std::make_unique<SimulatedController>(*this, host);
     controller->links.clear();
-    controller->node = std::make_unique<Replica>(
-        replication::ReplicaOptions{
-            host, {"core0", "core1", "core2"}, bootstrap, 2, std::uint64_t(net.rng()) << 20 | net.rng()},
-        controller->disk, *controller, net.now);
+    controller->replica = std::make_unique<Replica>(
+        replication::ReplicaOptions{host,
+                                    {"core0", "core1", "core2"},
+                                    bootstrap,
+                                    2,
+                                    std::uint64_t(network.rng()) << 20 | network.rng()},
+        controller->storage, *controller, network.now);
   }
   void receive(const std::string& to, const std::string& from, const Json& message) {
     auto found = controllers.find(to);
     if (found != controllers.end()) {
       SimulatedController& controller = *found->second;
-      if (!controller.node) return;
+      if (!controller.replica) return;
       const std::string type = message.value("t", "");
       if (type == "hi") {
         controller.links[from] = {message["e"], {}};
@@ -107,7 +110,7 @@
         if (controller.links.count(from) && controller.links[from].epoch == message["e"])
           controller.links[from].delivery.on_chunk_acknowledged();
       } else {
-        return receive_encoded(*controller.node, net.now, from, message);
+        return receive_encoded(*controller.replica, network.now, from, message);
       }
       return controller.send_updates();
     }
@@ -117,24 +120,25 @@
       auto applied =
           machine.cache.apply(Json::parse(line), std::string_view(line).substr(0, line.size() - 1));
       if (applied.acknowledge)
-        net.send(machine.name, machine.controller, {{"t", "got"}, {"e", machine.epoch}});
+        network.send(machine.name, machine.controller, {{"t", "got"}, {"e", machine.epoch}});
       machine.forward(applied.forward);
     }
   }
   // Connects the agent to a random controller, if that is a member of the chain.
   void link(Machine& machine) {
-    auto& host = hosts[std::size_t(net.pick(int(hosts.size())))];
+    auto& host = hosts[std::size_t(network.pick(int(hosts.size())))];
     auto& controller = controllers[host];
-    if (!controller->node || !controller->node->holds_lease(net.now)) return;
+    if (!controller->replica || !controller->replica->holds_lease(network.now)) return;
     machine.controller = host;
     ++machine.epoch;
     machine.cache.on_new_link();
-    net.send(machine.name, host, {{"t", "hi"}, {"e", machine.epoch}, {"have", machine.cache.sequence()}});
+    network.send(machine.name, host, {{"t", "hi"}, {"e", machine.epoch}, {"have", machine.cache.sequence()}});
   }
   void check() {
     for (auto& machine : machines) {
-      if (!machine.cluster.has_configuration() || machine.cluster.sequence() == machine.checked) continue;
-      machine.checked = machine.cluster.sequence();
+      if (!machine.cluster.has_configuration() || machine.cluster.sequence() == machine.checked_sequence)
+        continue;
+      machine.checked_sequence = machine.cluster.sequence();
       const std::uint64_t revision = machine.cluster.configuration().revision;
       ASSERT_GE(revision, machine.revision) << machine.name << " went back to an older revision";
       machine.revision = revision;
@@ -155,25 +159,26 @@
         route_count += bool(route);
       }
       ASSERT_EQ(route_count, expected->routes.size());
-      ASSERT_FALSE(refused.count(revision)) << "a refused change is in force";
+      ASSERT_FALSE(refused.count(revision)) << "a refused change was applied";
     }
   }
-  void run(Millis ms) {
-    for (Millis i = 0; i < ms; ++i) {
-      net.step();
+  void run(Millis duration) {
+    for (Millis elapsed = 0; elapsed < duration; ++elapsed) {
+      network.step();
       for (auto& host : hosts)
-        if (controllers[host]->node && net.now % 20 == 0)
-          controllers[host]->node->tick(net.now), controllers[host]->send_updates();
+        if (controllers[host]->replica && network.now % 20 == 0)
+          controllers[host]->replica->tick(network.now), controllers[host]->send_updates();
       for (auto& machine : machines) {
         auto found = controllers.find(machine.controller);
-        bool lost =
-            found == controllers.end() || !found->second->node || !found->second->links.count(machine.name);
-        if (net.now % 300 == 0 && (lost || !found->second->node->holds_lease(net.now))) link(machine);
+        bool lost = found == controllers.end() || !found->second->replica ||
+                    !found->second->links.count(machine.name);
+        if (network.now % 300 == 0 && (lost || !found->second->replica->holds_lease(network.now)))
+          link(machine);
       }
       ASSERT_NO_FATAL_FAILURE(check());
     }
   }
-  SimulatedNetwork net;
+  SimulatedNetwork network;
   std::vector<std::string> hosts;
   std::map<std::string, std::unique_ptr<SimulatedController>> controllers;
   std::vector<Machine> machines;
@@ -182,14 +187,14 @@
 };
 
 void SimulatedController::send(const std::string& to, const replication::Message& message) {
-  path.net.send(node ? node->self() : host, replication::host_of(to), replication::encode(message));
+  path.network.send(replica ? replica->self() : host, replication::host_of(to), replication::encode(message));
 }
 void SimulatedController::send_updates() {
-  if (!node) return;
+  if (!replica) return;
   for (auto& [name, link] : links)
-    link.delivery.send_pending(node->state(), node->committed(), node->all_committed(), shared_update,
-                               [&, name = name, epoch = link.epoch](const std::string& line) {
-                                 path.net.send(host, name, {{"e", epoch}, {"line", line}});
+    link.delivery.send_pending(replica->state(), replica->committed(), replica->all_committed(),
+                               shared_update, [&, name = name, epoch = link.epoch](const std::string& line) {
+                                 path.network.send(host, name, {{"e", epoch}, {"line", line}});
                                });
 }
 
@@ -198,7 +203,7 @@
   std::uint64_t base_revision = 0, revision = 0;
   bool done = true;
   int status = 0;
-  Millis next = 0;
+  Millis next_submit = 0;
 };
 
 void simulate(std::uint32_t seed) {
@@ -206,78 +211,80 @@
   DeliveryPath path(seed);
   path.run(3000);
   std::uint64_t newest = 0, acknowledged = 0, highest = 0;
-  Operator ops[2];
-  auto submit = [&](Operator& op) {
-    auto& controller = path.controllers[path.hosts[std::size_t(path.net.pick(5))]];
-    op.next = path.net.now + 400 + path.net.pick(900);
-    if (!controller->node) return;
-    controller->node->submit(path.net.now, put_configuration(op.base_revision, path.bodies[op.revision]),
-                             [&op, submitted = op.revision](Status a) {
-                               if (op.revision == submitted && !op.done && a.code() != StatusCode::kNoAnswer)
-                                 op.done = true, op.status = answer_code(a);
-                             });
+  Operator operators[2];
+  auto submit = [&](Operator& client) {
+    auto& controller = path.controllers[path.hosts[std::size_t(path.network.pick(5))]];
+    client.next_submit = path.network.now + 400 + path.network.pick(900);
+    if (!controller->replica) return;
+    controller->replica->submit(
+        path.network.now, put_configuration(client.base_revision, path.bodies[client.revision]),
+        [&client, submitted = client.revision](Status result) {
+          if (client.revision == submitted && !client.done && result.code() != StatusCode::kNoAnswer)
+            client.done = true, client.status = answer_code(result);
+        });
   };
   std::map<std::uint64_t, std::uint64_t> acknowledged_by_base;  // revisions
   for (int step = 0; step < 400; ++step) {
-    for (auto& op : ops) {
-      if (op.done && op.revision) {
-        if (op.status == 200) {
-          auto [it, fresh] = acknowledged_by_base.emplace(op.base_revision, op.revision);
-          ASSERT_TRUE(fresh || it->second == op.revision) << "two changes on one base revision";
-          acknowledged = std::max(acknowledged, op.revision);
-          newest = std::max(newest, op.revision);
+    for (auto& client : operators) {
+      if (client.done && client.revision) {
+        if (client.status == 200) {
+          auto [entry, inserted] = acknowledged_by_base.emplace(client.base_revision, client.revision);
+          ASSERT_TRUE(inserted || entry->second == client.revision) << "two changes on one base revision";
+          acknowledged = std::max(acknowledged, client.revision);
+          newest = std::max(newest, client.revision);
         } else {
-          path.refused.insert(op.revision);
+          path.refused.insert(client.revision);
         }
-        op.revision = 0;
+        client.revision = 0;
       }
-      if (!op.revision && path.net.chance(0.3)) {
+      if (!client.revision && path.network.chance(0.3)) {
         for (auto& machine : path.machines)
           newest = std::max(newest, machine.cluster.configuration().revision);
-        op = {newest, highest += 1 + std::uint64_t(path.net.pick(3)), false, 0, 0};
-        path.bodies[op.revision] =
-            body_of(op.revision, op.revision * 7, path.net.chance(0.2) ? 30 : 3 + path.net.pick(9));
+        client = {newest, highest += 1 + std::uint64_t(path.network.pick(3)), false, 0, 0};
+        path.bodies[client.revision] = body_of(client.revision, client.revision * 7,
+                                               path.network.chance(0.2) ? 30 : 3 + path.network.pick(9));
       }
-      if (op.revision && !op.done && path.net.now >= op.next) submit(op);
+      if (client.revision && !client.done && path.network.now >= client.next_submit) submit(client);
     }
-    auto& machine = path.machines[std::size_t(path.net.pick(3))];
-    auto& host = path.hosts[std::size_t(path.net.pick(5))];
-    switch (path.net.pick(14)) {
+    auto& machine = path.machines[std::size_t(path.network.pick(3))];
+    auto& host = path.hosts[std::size_t(path.network.pick(5))];
+    switch (path.network.pick(14)) {
       case 0:  // only the agent is killed; the proxy keeps running
         machine.cache = StateCache();
         machine.controller.clear();
         ++machine.epoch;
-        if (machine.linked && path.net.chance(0.7))
+        if (machine.linked && path.network.chance(0.7))
           machine.forward(machine.cache.sequence() ? machine.cache.encode_whole_state() : "");
         break;
       case 1:  // only the proxy is killed
         machine.cluster = ClusterState();
-        machine.revision = machine.checked = 0;
+        machine.revision = machine.checked_sequence = 0;
         if (machine.cache.sequence()) machine.forward(machine.cache.encode_whole_state());
         break;
       case 2:  // the link is reset, perhaps between two chunks
         path.link(machine);
         break;
       case 3: {  // a controller restarts, either soon or after it was excluded from the view
-        if (!path.controllers[host]->node) break;
-        path.controllers[host]->node.reset();
-        path.net.drop_messages_of(host);
-        path.run(path.net.chance(0.6) ? path.net.pick(200) : 1500 + path.net.pick(1500));
+        if (!path.controllers[host]->replica) break;
+        path.controllers[host]->replica.reset();
+        path.network.drop_messages_of(host);
+        path.run(path.network.chance(0.6) ? path.network.pick(200) : 1500 + path.network.pick(1500));
         path.start(host);
         break;
       }
       case 4: {  // a controller is partitioned from the others; nodes still reach it
         for (auto& other : path.hosts)
           if (other != host)
-            path.net.blocked_links.insert({host, other}), path.net.blocked_links.insert({other, host});
-        ASSERT_NO_FATAL_FAILURE(path.run(300 + path.net.pick(2000)));
-        path.net.blocked_links.clear();
+            path.network.blocked_links.insert({host, other}),
+                path.network.blocked_links.insert({other, host});
+        ASSERT_NO_FATAL_FAILURE(path.run(300 + path.network.pick(2000)));
+        path.network.blocked_links.clear();
         break;
       }
       default:
         break;
     }
-    ASSERT_NO_FATAL_FAILURE(path.run(20 + path.net.pick(120)));
+    ASSERT_NO_FATAL_FAILURE(path.run(20 + path.network.pick(120)));
   }
   path.run(4000);
   for (auto& machine : path.machines) {
@@ -285,7 +292,7 @@
     ASSERT_GE(machine.cluster.configuration().revision, acknowledged)
         << machine.name << " does not hold an acknowledged change";
   }
-  EXPECT_GT(acknowledged, 20u) << "a run with hardly any change tests nothing";
+  EXPECT_GT(acknowledged, 20u) << "too few changes were acknowledged for a meaningful run";
 }
 
 TEST(ConfigDelivery, ConfigurationsHoldWhileAnySingleProcessDies) {
@@ -341,30 +348,31 @@
   EXPECT_EQ(submit(0, 1), 200);
   std::uint64_t stored = state.last_sequence();
   EXPECT_EQ(submit(0, 1), 200);
-  EXPECT_EQ(state.last_sequence(), stored) << "it changes nothing";
-  for (std::uint64_t r = 5; r < 305; ++r) ASSERT_EQ(submit(r - 1, r), 200);
+  EXPECT_EQ(state.last_sequence(), stored) << "a repeated submission stores nothing";
+  for (std::uint64_t revision = 5; revision < 305; ++revision) ASSERT_EQ(submit(revision - 1, revision), 200);
   EXPECT_EQ(submit(0, 1), 200) << "also after hundreds of other changes";
   EXPECT_EQ(submit(1, 3), 412);
 }
 
 // A chunk that arrives too late to be applied is acknowledged all the same, because the controller sends the
 // next one only after that.
-TEST(ConfigDelivery, EveryPieceIsToldOf) {
+TEST(ConfigDelivery, EveryChunkIsAcknowledged) {
   StateCache cache;
-  auto up = [&](std::uint64_t k, int left, const char* key) {
-    Json m{{"t", "up"}, {"k", k}, {"r", {{key, k, "v"}}}};
-    if (left >= 0) m["left"] = left;
-    return cache.apply(m, m.dump());
+  auto apply_chunk = [&](std::uint64_t sequence, int left, const char* key) {
+    Json message{{"t", "up"}, {"k", sequence}, {"r", {{key, sequence, "v"}}}};
+    if (left >= 0) message["left"] = left;
+    return cache.apply(message, message.dump());
   };
-  EXPECT_FALSE(up(7, -1, "a").forward.empty());
-  EXPECT_TRUE(up(5, 1, "b").acknowledge);
-  auto last = up(5, 0, "c");
+  EXPECT_FALSE(apply_chunk(7, -1, "a").forward.empty());
+  EXPECT_TRUE(apply_chunk(5, 1, "b").acknowledge);
+  auto last = apply_chunk(5, 0, "c");
   EXPECT_TRUE(last.acknowledge);
-  EXPECT_TRUE(last.forward.empty()) << "never back to an older state";
-  EXPECT_TRUE(up(9, 1, "d").acknowledge);
+  EXPECT_TRUE(last.forward.empty()) << "an older state was forwarded";
+  EXPECT_TRUE(apply_chunk(9, 1, "d").acknowledge);
   cache.on_new_link();
-  auto alone = up(9, 0, "e");
-  EXPECT_EQ(alone.forward.find("\"d\""), std::string::npos) << "a chunk of a former link";
+  auto after_new_link = apply_chunk(9, 0, "e");
+  EXPECT_EQ(after_new_link.forward.find("\"d\""), std::string::npos)
+      << "a chunk from the previous link was forwarded";
 }
 
 }  // namespace
--- a/tests/config/configuration_reader_test.cc
+++ b/tests/config/configuration_reader_test.cc
@@ -30,7 +30,7 @@
   ASSERT_TRUE(read_configuration(kMeshConfig)) << read_configuration(kMeshConfig).status().message();
   struct Case {
     const std::string& valid;
-    const char *from, *to;
+    const char *original, *replacement;
   };
   for (auto& test_case : std::initializer_list<Case>{
            {kConfig, R"("Services":[{"Name":"s"}]})", R"("Services":[{"Na)"},  // truncated
@@ -53,14 +53,14 @@
            {kMeshConfig, "90", "-1"},
            {kMeshConfig, "Weight\":90},{\"TargetService\":\"t\",\"Weight\":10", "Weight\":0"},  // sum 0
            {kMeshConfig, "15000", R"("15 s")"}})
-    EXPECT_FALSE(read_configuration(changed(test_case.valid, test_case.from, test_case.to)))
-        << test_case.from << " -> " << test_case.to;
+    EXPECT_FALSE(read_configuration(changed(test_case.valid, test_case.original, test_case.replacement)))
+        << test_case.original << " -> " << test_case.replacement;
   EXPECT_EQ(read_configuration(changed(kConfig, "1000", "0.4"))->routes.begin()->second.timeout_ms, 1);
 }
 
 // A patch replaces and removes items by name and leaves all others as they are. It is validated against its
 // base revision, as a full configuration is.
-TEST(ConfigurationReader, AChangeOfNamedItemsIsMergedAndJudgedAsAWhole) {
+TEST(ConfigurationReader, APatchIsMergedAndValidatedAsAWholeConfiguration) {
   StateTable state;
   auto put = [&](const Json& command) {
     auto result = validate_command(state, command);
@@ -68,12 +68,12 @@
     for (auto& row : result.rows) row.sequence = sequence, state.put(row);
     return answer_code(result.status);
   };
-  const std::string first = R"({"Revision":5,"Upsert":{"Routes":[{"Name":"c","Hostname":"h.example",
+  const std::string patch = R"({"Revision":5,"Upsert":{"Routes":[{"Name":"c","Hostname":"h.example",
     "PathPrefix":"/z/","RouteType":"idempotent","TimeoutMs":10,"TargetService":"t"}]},"Remove":{"Routes":["a"]}})";
-  EXPECT_EQ(put(patch_configuration(0, first)), 412) << "there is no configuration yet";
+  EXPECT_EQ(put(patch_configuration(0, patch)), 412) << "there is no configuration yet";
   EXPECT_EQ(put(put_configuration(0, kMeshConfig)), 200);
-  EXPECT_EQ(put(patch_configuration(3, first)), 200);
-  EXPECT_EQ(put(patch_configuration(3, first)), 200) << "submitted again: already applied";
+  EXPECT_EQ(put(patch_configuration(3, patch)), 200);
+  EXPECT_EQ(put(patch_configuration(3, patch)), 200) << "submitted again: already applied";
   ClusterState cluster;
   cluster.update_from(state);
   EXPECT_EQ(cluster.configuration().revision, 5u);
@@ -83,15 +83,15 @@
   EXPECT_EQ(cluster.route("h.example", "/z/q")->service, "t");
   EXPECT_FALSE(cluster.route("h.example", "/zz/q"));
   EXPECT_FALSE(cluster.route("other.example", "/z/q"));
-  for (const char* bad :
+  for (const char* invalid :
        {R"({"Revision":5})",                                 // not above its base
-        R"({"Revision":9,"Upsert":{"Routes":[{"Hostname")",  // cut short
+        R"({"Revision":9,"Upsert":{"Routes":[{"Hostname")",  // truncated
         R"({"Revision":9,"Remove":{"Services":["t"]}})",     // a route still uses the service
         R"({"Revision":9,"Upsert":{"Routes":[{"Name":"c","Hostname":"h.example","PathPrefix":"/x/y/",
              "RouteType":"idempotent","TimeoutMs":10,"TargetService":"t"}]}})",  // the same host and path
         R"({"Revision":9,"Upsert":{"Routes":[{"Hostname":"x"}]}})",              // no name
         R"({"Revision":9,"Remove":["c"]})"})
-    EXPECT_EQ(put(patch_configuration(5, bad)), 400) << bad;
+    EXPECT_EQ(put(patch_configuration(5, invalid)), 400) << invalid;
   EXPECT_EQ(put(patch_configuration(3, R"({"Revision":9})")), 412);
   EXPECT_EQ(put(patch_configuration(5, R"({"Revision":9,"Upsert":{"Limits":{"IdleTimeoutMs":700}}})")), 200);
   cluster.update_from(state);
@@ -107,9 +107,9 @@
     for (auto& row : result.rows) row.sequence = state.last_sequence() + 1, state.put(row);
     return answer_code(result.status);
   };
-  EXPECT_EQ(submit(1, kConfig), 503) << "revision 1 may still be produced";
+  EXPECT_EQ(submit(1, kConfig), 503) << "base revision 1 is unknown here but may still be committed";
   EXPECT_EQ(submit(0, kConfig), 200);
-  EXPECT_EQ(submit(0, kConfig), 200);  // the same again, as after a lost answer
+  EXPECT_EQ(submit(0, kConfig), 200);  // submitted again, as after a lost response
   EXPECT_EQ(submit(0, changed(kConfig, ":3", ":7")), 412);
   EXPECT_EQ(submit(3, changed(kConfig, ":3", ":2")), 400);
   EXPECT_EQ(submit(3, changed(kConfig, ":3", ":7")), 200);
--- a/tests/config/failover_commands_test.cc
+++ b/tests/config/failover_commands_test.cc
@@ -39,7 +39,7 @@
   std::uint64_t call_count_ = 0;
 };
 
-TEST_F(FailoverCommands, ARecordIsReadAsItWasWritten) {
+TEST_F(FailoverCommands, ADecodedRecordEqualsTheEncodedOne) {
   const FailoverRecord record{
       "3.17", "the primary is silent", 3, {{18, {"b"}, 3, 2}, {21, {"b"}, 4, 2}}, true};
   EXPECT_EQ(decode_failover(encode_failover(record)), record);
@@ -47,7 +47,7 @@
   EXPECT_EQ(decode_failover(R"({"id":7,"calls":[1]})"), FailoverRecord());
 }
 
-TEST_F(FailoverCommands, OneThatHasLeftIsRememberedUntilItIsForgotten) {
+TEST_F(FailoverCommands, ARetiredInstanceIsRecordedUntilItsRecordIsRemoved) {
   EXPECT_TRUE(submit(retire_instance({"b"})).is_ok());
   EXPECT_EQ(state_.find(instance_key({"b"})), nullptr);
   ASSERT_TRUE(departed("b"));
@@ -65,16 +65,17 @@
   EXPECT_EQ(departed("a")->replacement.value, "d");
 }
 
-TEST_F(FailoverCommands, OfReplicasOnlyThoseThatWereLeavingAreRememberedAtARestart) {
+TEST_F(FailoverCommands, OnlyDrainingReplicasAreRecordedAsDepartedAtARestart) {
   heartbeat("e", 2, false);
   EXPECT_FALSE(departed("b"));
   heartbeat("e", 2, false, true);
   heartbeat("f", 2, false);
   ASSERT_TRUE(departed("e"));
-  EXPECT_TRUE(departed("e")->replacement.empty()) << "its log is gone when it ends, so it has no replacement";
+  EXPECT_TRUE(departed("e")->replacement.empty())
+      << "its log is lost when it stops, so no instance replaces it";
 }
 
-TEST_F(FailoverCommands, AStepIsRefusedOnceTheFailoverHasGoneOn) {
+TEST_F(FailoverCommands, AnUpdateFromAnOutdatedFailoverRecordIsRefused) {
   const std::string assignment = value(primary_key("s"));
   const std::string first = encode_failover({"1.2", "why", 1, {}, false});
   const std::string second = encode_failover({"1.2", "why", 1, {{3, {"b"}, 1, 1}}, false});
@@ -87,7 +88,7 @@
   EXPECT_EQ(value(failover_key("s")), "");
 }
 
-TEST_F(FailoverCommands, NodesAreFedNeitherRecordsNorDepartedDatabases) {
+TEST_F(FailoverCommands, UpdatesToNodesOmitFailoverRecordsAndDepartedInstances) {
   const std::string assignment = value(primary_key("s"));
   EXPECT_TRUE(submit(retire_instance({"b"})).is_ok());
   const std::string record = encode_failover({"1.2", "why", 1, {}, false});
--- a/tests/replication/golden_messages_test.cc
+++ b/tests/replication/golden_messages_test.cc
@@ -32,18 +32,19 @@
   }
 
   void start(const std::string& host, bool bootstrap = false, std::size_t chunk_bytes = kSmallChunkBytes) {
-    auto& core = cores_[host];
-    if (!core) core = std::make_unique<Core>(*this);
+    auto& controller = controllers_[host];
+    if (!controller) controller = std::make_unique<Controller>(*this);
     replication::ReplicaOptions options{host, {kHead, kMiddle, kTail},   bootstrap,
                                         1,    incarnation_ += 0x1000003, chunk_bytes};
-    core->node = std::make_unique<Replica>(options, core->disk, *core, now_);
+    controller->node = std::make_unique<Replica>(options, controller->disk, *controller, now_);
   }
   void stop(const std::string& host) {
-    cores_[host]->node.reset();
-    std::erase_if(network_,
-                  [&](auto& sent) { return sent.to == host || replication::host_of(sent.from) == host; });
+    controllers_[host]->node.reset();
+    std::erase_if(network_, [&](auto& message) {
+      return message.to == host || replication::host_of(message.from) == host;
+    });
   }
-  void lose_disk(const std::string& host) { cores_[host]->disk = MemoryStorage(); }
+  void lose_disk(const std::string& host) { controllers_[host]->disk = MemoryStorage(); }
   void isolate(const std::string& host) { isolated_host_ = host; }
 
   void run(Millis duration, const std::function<bool()>& until = {}) {
@@ -51,23 +52,23 @@
       deliver();
       if (until && until()) return;
       if (now_ % 20 != 0) continue;
-      for (auto& [host, core] : cores_)
-        if (core->node) core->node->tick(now_);
+      for (auto& [host, controller] : controllers_)
+        if (controller->node) controller->node->tick(now_);
     }
   }
   int submit(const std::string& host, const Json& update) {
     int status = -1;
-    cores_[host]->node->submit(now_, update, [&](Status answer) { status = answer_code(answer); });
+    controllers_[host]->node->submit(now_, update, [&](Status result) { status = answer_code(result); });
     run(replication::kSubmitTimeoutMs + 50);
     return status;
   }
   void read(const std::string& host, const std::string& key) {
-    cores_[host]->node->read(now_, key,
-                             [](const Result<std::optional<std::string>>& value) { EXPECT_TRUE(value); });
+    controllers_[host]->node->read(
+        now_, key, [](const Result<std::optional<std::string>>& value) { EXPECT_TRUE(value); });
   }
-  Replica& at(const std::string& host) { return *cores_[host]->node; }
+  Replica& at(const std::string& host) { return *controllers_[host]->node; }
   std::size_t staged_row_count(const std::string& host) {
-    return cores_[host]->disk.stored_staged_rows.size();
+    return controllers_[host]->disk.stored_staged_rows.size();
   }
   Millis now() const { return now_; }
   std::vector<std::string> sent() const {
@@ -77,8 +78,8 @@
   }
 
  private:
-  struct Core : replication::Environment {
-    explicit Core(Scenario& owner) : scenario(owner) {}
+  struct Controller : replication::Environment {
+    explicit Controller(Scenario& owner) : scenario(owner) {}
     void send(const std::string& to, const replication::Message& message) override {
       const Json encoded = replication::encode(message);
       scenario.record(encoded);
@@ -95,7 +96,7 @@
     MemoryStorage disk;
     std::unique_ptr<Replica> node;
   };
-  struct Sent {
+  struct MessageInTransit {
     Millis at = 0;
     std::string from, to;
     Json message;
@@ -103,11 +104,11 @@
 
   void deliver() {
     while (!network_.empty() && network_.front().at <= now_) {
-      const Sent next = network_.front();
+      const MessageInTransit next = network_.front();
       network_.pop_front();
       if (next.to == isolated_host_ || replication::host_of(next.from) == isolated_host_) continue;
-      if (auto& core = cores_[next.to]; core && core->node)
-        receive_encoded(*core->node, now_, next.from, next.message);
+      if (auto& controller = controllers_[next.to]; controller && controller->node)
+        receive_encoded(*controller->node, now_, next.from, next.message);
     }
   }
   // Messages have the same shape if they have the same type and fields and are used for the same purpose.
@@ -125,8 +126,8 @@
   Millis now_ = 1000;
   std::uint64_t incarnation_ = 0x1234567890;
   std::string isolated_host_;
-  std::map<std::string, std::unique_ptr<Core>> cores_;
-  std::deque<Sent> network_;
+  std::map<std::string, std::unique_ptr<Controller>> controllers_;
+  std::deque<MessageInTransit> network_;
   std::map<std::string, std::string> first_of_shape_;
 };
 
@@ -171,69 +172,69 @@
 }
 
 Json instance(const std::string& id, const std::string& zone, int host, std::uint64_t calls) {
-  Instance database;
-  database.id = {id};
-  database.service = "store";
-  database.zone = zone;
-  database.address = {"10.9.0." + std::to_string(host), 8144};
-  database.capacity = 12;
-  database.primary = host == 1;
-  database.draining = host == 3;
-  database.call_count = calls;
-  return put_instance(database);
+  Instance registered;
+  registered.id = {id};
+  registered.service = "store";
+  registered.zone = zone;
+  registered.address = {"10.9.0." + std::to_string(host), 8144};
+  registered.capacity = 12;
+  registered.primary = host == 1;
+  registered.draining = host == 3;
+  registered.call_count = calls;
+  return put_instance(registered);
 }
 
-void send_every_command(Scenario& cores) {
-  EXPECT_EQ(cores.submit(kMiddle, put_configuration(0, configuration())), 200);
-  EXPECT_EQ(cores.submit(kMiddle, put_configuration(0, configuration())), 200);
-  EXPECT_EQ(cores.submit(kTail, put_configuration(0, patch())), 412);
-  EXPECT_EQ(cores.submit(kTail, patch_configuration(7, patch())), 200);
-  EXPECT_EQ(cores.submit(kHead, instance("i-a1", "north", 1, 1)), 200);
-  EXPECT_EQ(cores.submit(kHead, instance("i-b2", "south", 2, 1)), 200);
-  EXPECT_EQ(cores.submit(kHead, instance("i-c3", "west", 3, 4)), 200);
-  EXPECT_EQ(cores.submit(kHead, instance("i-d4", "west", 4, 2)), 200);
-  EXPECT_EQ(cores.submit(kTail, remove_instance({"i-d4"})), 200);
-  const std::string current = cores.at(kHead).state().find(primary_key("store"))->value;
+void send_every_command(Scenario& scenario) {
+  EXPECT_EQ(scenario.submit(kMiddle, put_configuration(0, configuration())), 200);
+  EXPECT_EQ(scenario.submit(kMiddle, put_configuration(0, configuration())), 200);
+  EXPECT_EQ(scenario.submit(kTail, put_configuration(0, patch())), 412);
+  EXPECT_EQ(scenario.submit(kTail, patch_configuration(7, patch())), 200);
+  EXPECT_EQ(scenario.submit(kHead, instance("i-a1", "north", 1, 1)), 200);
+  EXPECT_EQ(scenario.submit(kHead, instance("i-b2", "south", 2, 1)), 200);
+  EXPECT_EQ(scenario.submit(kHead, instance("i-c3", "west", 3, 4)), 200);
+  EXPECT_EQ(scenario.submit(kHead, instance("i-d4", "west", 4, 2)), 200);
+  EXPECT_EQ(scenario.submit(kTail, remove_instance({"i-d4"})), 200);
+  const std::string current = scenario.at(kHead).state().find(primary_key("store"))->value;
   PrimaryAssignment next = *decode_primary(current);
   next.suspended = next.planned = true;
   next.term = 3;
-  EXPECT_EQ(cores.submit(kMiddle, assign_primary("store", current, next)), 200);
-  EXPECT_EQ(cores.submit(kMiddle, assign_primary("store", "other", next)), 200);
-  cores.read(kHead, kConfigurationKey);
-  cores.read(kHead, "none");
-  cores.run(500);
+  EXPECT_EQ(scenario.submit(kMiddle, assign_primary("store", current, next)), 200);
+  EXPECT_EQ(scenario.submit(kMiddle, assign_primary("store", "other", next)), 200);
+  scenario.read(kHead, kConfigurationKey);
+  scenario.read(kHead, "none");
+  scenario.run(500);
 }
 
 // The tail loses its disk and receives the state in small chunks, with an interruption; then each replica is
 // lost once.
-void lose_each_replica(Scenario& cores) {
-  cores.stop(kTail);
-  cores.run(4500);
-  cores.lose_disk(kTail);
-  for (auto* host : {kHead, kMiddle}) cores.stop(host);
-  for (auto* host : {kHead, kMiddle}) cores.start(host);
-  cores.run(2000);
-  cores.start(kTail);
-  cores.run(4000, [&] { return cores.staged_row_count(kTail) >= 5; });
-  cores.stop(kTail);
-  cores.run(1500);
-  EXPECT_EQ(cores.submit(kHead, instance("i-e5", "west", 5, 2)), 200);
-  cores.start(kTail);
-  cores.run(6000);
-  EXPECT_EQ(cores.submit(kHead, instance("i-f6", "west", 6, 2)), 200);
-  cores.stop(kHead);
-  cores.run(3000);
-  EXPECT_EQ(cores.submit(kMiddle, instance("i-g7", "west", 7, 2)), 200);
-  cores.start(kHead);
-  cores.run(5000);
-  cores.isolate(kMiddle);
-  cores.run(5000);
-  cores.isolate("");
-  cores.run(5000);
-  cores.at(kTail).begin_leaving(cores.now());
-  cores.run(500);
-  cores.at(kTail).stop(cores.now());
-  cores.run(1500);
+void lose_each_replica(Scenario& scenario) {
+  scenario.stop(kTail);
+  scenario.run(4500);
+  scenario.lose_disk(kTail);
+  for (auto* host : {kHead, kMiddle}) scenario.stop(host);
+  for (auto* host : {kHead, kMiddle}) scenario.start(host);
+  scenario.run(2000);
+  scenario.start(kTail);
+  scenario.run(4000, [&] { return scenario.staged_row_count(kTail) >= 5; });
+  scenario.stop(kTail);
+  scenario.run(1500);
+  EXPECT_EQ(scenario.submit(kHead, instance("i-e5", "west", 5, 2)), 200);
+  scenario.start(kTail);
+  scenario.run(6000);
+  EXPECT_EQ(scenario.submit(kHead, instance("i-f6", "west", 6, 2)), 200);
+  scenario.stop(kHead);
+  scenario.run(3000);
+  EXPECT_EQ(scenario.submit(kMiddle, instance("i-g7", "west", 7, 2)), 200);
+  scenario.start(kHead);
+  scenario.run(5000);
+  scenario.isolate(kMiddle);
+  scenario.run(5000);
+  scenario.isolate("");
+  scenario.run(5000);
+  scenario.at(kTail).begin_leaving(scenario.now());
+  scenario.run(500);
+  scenario.at(kTail).stop(scenario.now());
+  scenario.run(1500);
 }
 
 std::vector<std::string> golden_lines() {
@@ -243,19 +244,19 @@
   return lines;
 }
 
-TEST(GoldenMessages, AFixedScenarioSendsTheSameMessagesAsEver) {
-  Scenario cores;
-  cores.run(2000);
-  send_every_command(cores);
-  lose_each_replica(cores);
+TEST(GoldenMessages, AFixedScenarioSendsTheRecordedMessages) {
+  Scenario scenario;
+  scenario.run(2000);
+  send_every_command(scenario);
+  lose_each_replica(scenario);
   if (const char* path = std::getenv("WRITE_GOLDEN")) {
     std::ofstream file(path);
-    for (auto& line : cores.sent()) file << line << "\n";
+    for (auto& line : scenario.sent()) file << line << "\n";
   }
-  EXPECT_EQ(cores.sent(), golden_lines());
+  EXPECT_EQ(scenario.sent(), golden_lines());
 }
 
-TEST(GoldenMessages, EachIsWellFormedAndNotWithAFieldOfAnotherType) {
+TEST(GoldenMessages, RecordedMessagesAreWellFormedUnlessAFieldHasAnotherType) {
   const auto lines = golden_lines();
   EXPECT_GE(lines.size(), 30u);
   for (auto& line : lines) {
