--- a/tests/sidecar/sidecar_halves.h
+++ b/tests/sidecar/sidecar_halves.h
@@ -17,21 +17,22 @@
   std::set<std::uint64_t> held;  // offers whose link is being established
   Outbound out{*this, timers, cluster, {"z0", "caller", 0.2, 3.0, 10000, 7}};
   OutboundHalf() {
-    MeshSimulation w(1);
-    for (int i : {5, 6}) {  // so that there is always another database to try
-      Instance in{{"more" + std::to_string(i)}, "s", "z0", MeshSimulation::address_of(i), 2, false, false, 1};
-      w.rows.push_back({instance_key(in.id), encode_instance(in), 1, false});
+    MeshSimulation simulation(1);
+    for (int node : {5, 6}) {  // so that there is always another database to try
+      Instance instance{
+          {"more" + std::to_string(node)}, "s", "z0", MeshSimulation::address_of(node), 2, false, false, 1};
+      simulation.rows.push_back({instance_key(instance.id), encode_instance(instance), 1, false});
     }
-    cluster.apply(1, w.rows);
+    cluster.apply(1, simulation.rows);
     step(0);
     out.set_node_count(1);
     out.set_state_current(true);
   }
-  void answer(CallId id, Reply r) override {
+  void answer(CallId id, Reply reply) override {
     EXPECT_FALSE(answers.count(id));
-    answers[id] = std::move(r);
+    answers[id] = std::move(reply);
   }
-  void offer(const Endpoint& at, const Json& m) override { offers.emplace_back(at, m); }
+  void offer(const Endpoint& at, const Json& frame) override { offers.emplace_back(at, frame); }
   bool is_linked(const Endpoint& at) override { return unlinked.count(at) == 0; }
   void connect(const Endpoint& at) override { connected.push_back(at); }
   bool withdraw(const Endpoint&, std::uint64_t offer_number) override {
@@ -45,16 +46,16 @@
     }
     out.set_time(now);
   }
-  void ask(CallId id, bool safe) {
-    out.start_call(id,
-                   {"GET", safe ? "/s/safe/x" : "/s/once/x", "", {{"Host", "h"}, {kRequestIdField, "q"}}});
+  void ask(CallId id, bool idempotent) {
+    out.start_call(
+        id, {"GET", idempotent ? "/s/safe/x" : "/s/once/x", "", {{"Host", "h"}, {kRequestIdField, "q"}}});
   }
-  std::uint64_t offer_number(std::size_t i) const {
-    return sidecar::unsigned_field(offers.at(i).second, "n");
+  std::uint64_t offer_number(std::size_t offer_index) const {
+    return sidecar::unsigned_field(offers.at(offer_index).second, "n");
   }
-  void reply_to(std::size_t i, Json m) {
-    m["n"] = offer_number(i);
-    out.handle_frame(offers.at(i).first, m);
+  void reply_to(std::size_t offer_index, Json frame) {
+    frame["n"] = offer_number(offer_index);
+    out.handle_frame(offers.at(offer_index).first, frame);
   }
   int status(CallId id) const { return answers.count(id) ? answers.at(id).status : 0; }
 };
@@ -78,20 +79,20 @@
   static Instance instance(const std::string& id, int slots = 2) {
     return {{id}, "s", "z0", MeshSimulation::address_of(0), slots, false, false, 1};
   }
-  void reply(LinkId, const Json& m) override {
-    EXPECT_FALSE(replies.count(m["n"])) << "two outcomes of one offer";
-    replies[m["n"]] = m;
+  void reply(LinkId, const Json& frame) override {
+    EXPECT_FALSE(replies.count(frame["n"])) << "more than one reply to an offer";
+    replies[frame["n"]] = frame;
   }
   void open_app_connection(ConnId id) override { opened.push_back(id); }
-  void send_to_app(ConnId id, const Call& c) override { written.emplace_back(id, c); }
+  void send_to_app(ConnId id, const Call& call) override { written.emplace_back(id, call); }
   void close_app_connection(ConnId id) override { closed.push_back(id); }
   void step(Millis ms) {
     now += ms;
     in.set_time(now);
     timers.run(now);
   }
-  void offer(std::uint64_t offer_number, bool safe, const std::string& method = "GET", Millis wait = 0,
-             int rank = 1) {
+  void offer(std::uint64_t offer_number, bool idempotent, const std::string& method = "GET",
+             Millis max_wait_ms = 0, int priority = 1) {
     in.offer(1, {{"t", "q"},
                  {"n", offer_number},
                  {"i", in.database()->id.value},
@@ -100,15 +101,15 @@
                  {"h", Json::array({"Host", "h", kRequestIdField, "q" + std::to_string(offer_number)})},
                  {"b", ""},
                  {"d", 500},
-                 {"w", wait},
+                 {"w", max_wait_ms},
                  {"a", 200},
-                 {"p", rank},
-                 {"s", safe}});
+                 {"p", priority},
+                 {"s", idempotent}});
   }
   void answer(ConnId conn, const std::string& id, int status = 200,
-              HttpFields more = {{kResponseSealField, "s"}}) {
-    if (!id.empty()) more.emplace_back(kRequestIdField, id);
-    in.app_reply_received(conn, {status, "of " + id, more}, 0);
+              HttpFields fields = {{kResponseSealField, "s"}}) {
+    if (!id.empty()) fields.emplace_back(kRequestIdField, id);
+    in.app_reply_received(conn, {status, "of " + id, fields}, 0);
   }
   std::string reply_type(std::uint64_t offer_number) {
     return replies.count(offer_number) ? text_field(replies[offer_number], "t") : "";
