--- a/tests/failover/failover_test.cc
+++ b/tests/failover/failover_test.cc
@@ -42,9 +42,10 @@
         cluster.apply(put_instance(cluster.instance(name)));
       }
       for (int i = 0; i < 6000; ++i) cluster.step();
-      std::string leader = cluster.assigned_primary();
-      ASSERT_FALSE(leader.empty()) << "the service has no primary";
-      EXPECT_TRUE(cluster.databases[leader].primary) << "the assigned primary does not lead";
+      std::string final_primary = cluster.assigned_primary();
+      ASSERT_FALSE(final_primary.empty()) << "the service has no primary";
+      EXPECT_TRUE(cluster.databases[final_primary].primary)
+          << "the assigned database does not act as primary";
       for (auto& [name, database] : cluster.databases)
         EXPECT_EQ(database.paused_term, 0u) << name << " is still paused";
     }
@@ -83,10 +84,10 @@
   EXPECT_EQ(promotes(3, 2, true), 0);  // the three nodes may all have had a faulty link
   EXPECT_EQ(promotes(8, 1, true), 0);
   EXPECT_EQ(promotes(4, 2, true), 1);
-  EXPECT_EQ(promotes(8, 2, false), 0) << "the database answers the query";
+  EXPECT_EQ(promotes(8, 2, false), 0) << "a database that answers the query must not be replaced";
 }
 
-TEST(Failover, HandsTheLeadOverWhenNodesOfSeveralZonesFindItSlow) {
+TEST(Failover, ReplacesAPrimaryThatNodesOfSeveralZonesReportAsSlow) {
   SimulatedCluster cluster(8);
   auto report = [&](int nodes, int zones) {
     for (int i = 0; i < 3000; ++i) {
@@ -116,7 +117,8 @@
     cluster.step();
   }
   EXPECT_EQ(cluster.promotes, 0);
-  EXPECT_EQ(cluster.assigned_primary(), "db0") << "a slow primary is better than none";
+  EXPECT_EQ(cluster.assigned_primary(), "db0")
+      << "a slow primary must not be replaced while a replica cannot be paused";
 }
 
 // A promote call that was not answered may take effect at any time. Therefore the former primary, even if it
@@ -136,7 +138,7 @@
   EXPECT_GT(promotes, 10);
 }
 
-TEST(Failover, WaitsWhenAReplicaThatMayHoldMoreIsOutOfReach) {
+TEST(Failover, WaitsForAnUnreachableReplicaThatMayHoldMoreCommits) {
   SimulatedCluster cluster(6);
   cluster.databases["db1"].unreachable = true;
   cluster.databases["db0"].up = false;
@@ -147,11 +149,11 @@
   EXPECT_EQ(cluster.promotes, 1);
 }
 
-TEST(Failover, ADatabaseBackAtItsAddressUnderANewNameEndsTheOldOne) {
+TEST(Failover, ANewInstanceAtTheSameAddressReplacesTheOldOne) {
   SimulatedCluster cluster(7);
-  auto back = cluster.instance("db1");
-  back.id = {"new1"};
-  cluster.apply(put_instance(back));
+  auto successor = cluster.instance("db1");
+  successor.id = {"new1"};
+  cluster.apply(put_instance(successor));
   EXPECT_EQ(cluster.state.find(instance_key({"db1"})), nullptr);
   cluster.apply(put_instance(cluster.instance("db1")));  // a delayed heartbeat of the old process
   EXPECT_EQ(cluster.state.find(instance_key({"db1"})), nullptr);
@@ -159,12 +161,12 @@
 
 TEST(Failover, CommitsHeldOnlyByADepartingReplicaAreNotLost) {
   // db2 has announced its shutdown and still receives for a moment; db1 doesn't receive the last commits.
-  for (Millis ends : {20, 100, 3000}) {
+  for (Millis shutdown_delay : {20, 100, 3000}) {
     SimulatedCluster cluster(12);
     for (int i = 0; i < 500; ++i) cluster.step();
     cluster.apply(retire_instance({"db2"}));
     cluster.databases["db1"].replication_blocked = true;
-    cluster.schedule(ends, [&] { cluster.databases["db2"].up = false; });
+    cluster.schedule(shutdown_delay, [&] { cluster.databases["db2"].up = false; });
     cluster.schedule(400, [&] { cluster.databases["db1"].replication_blocked = false; });
     cluster.databases["db0"].draining = true;
     cluster.apply(put_instance(cluster.instance("db0")));
--- a/tests/replication/replica_faults_test.cc
+++ b/tests/replication/replica_faults_test.cc
@@ -27,7 +27,7 @@
       }
     return cluster.random_host();
   };
-  auto cut = [&](const std::string& victim, int kind) {
+  auto partition = [&](const std::string& victim, int kind) {
     for (auto& other : cluster.hosts) {
       if (other == victim) continue;
       // 1: the others receive the victim's messages, it receives none. 2: the reverse.
@@ -43,7 +43,7 @@
   };
   for (int round = 0; round < 2; ++round) {
     std::string victim = choose_host(cluster.net.pick(3));
-    cut(victim, cluster.net.pick(5));
+    partition(victim, cluster.net.pick(5));
     for (auto& node : cluster.nodes)
       // The node is connected to the isolated replica.
       if (cluster.net.chance(0.5)) node.controller_host = victim, node.heard_at = cluster.now();
@@ -63,23 +63,23 @@
   EXPECT_GT(cluster.answered, 0);
 }
 
-TEST(ReplicaFaults, CutOffCoresHandOutNothing) {
+TEST(ReplicaFaults, PartitionedReplicasServeNothing) {
   each_seed(500, [](std::uint32_t seed) { run_partitions(seed, seed % 25 == 0); });
 }
 
 // A refusal or a value counts only if it comes from the replica that was asked, and a refusal only for the
-// last attempt: the change may have been taken after an earlier one.
-TEST(ReplicaFaults, ARefusalCountsForTheLastTryOnly) {
+// last attempt: the change may have been applied by an earlier one.
+TEST(ReplicaFaults, ARefusalCountsForTheLastAttemptOnly) {
   FaultyCluster cluster(3, 3, 3, 1);
   cluster.run_checked(1500);
   auto view = cluster.at("core0").view();
   std::string head = view.head(), tail = view.tail(), victim = view.members[1].id;
-  Replica& node = cluster.at(victim);
+  Replica& replica = cluster.at(victim);
   cluster.isolate(victim, true);
   int status = -1, value_read = -1;
-  node.submit(cluster.now(), {{"key", "k0"}, {"expect", ""}, {"value", "1"}},
-              [&](Status answer) { status = answer_code(answer); });
-  node.read(cluster.now(), "k0", [&](const Result<std::optional<std::string>>& value) {
+  replica.submit(cluster.now(), {{"key", "k0"}, {"expect", ""}, {"value", "1"}},
+                 [&](Status answer) { status = answer_code(answer); });
+  replica.read(cluster.now(), "k0", [&](const Result<std::optional<std::string>>& value) {
     value_read = value && *value ? std::stoi(**value) : 0;
   });
   // The request ids, taken from the messages.
@@ -88,10 +88,10 @@
   cluster.net.deliver = [&](const std::string&, const std::string&, const Json& message) {
     if (message["t"] == "sub") id = message["id"];
   };
-  for (int i = 0; i < 350; ++i) cluster.net.step(), node.tick(cluster.now());
+  for (int i = 0; i < 350; ++i) cluster.net.step(), replica.tick(cluster.now());
   ASSERT_NE(id, 0u);
   auto refuse = [&](const std::string& from, int attempt) {
-    receive_encoded(node, cluster.now(), from,
+    receive_encoded(replica, cluster.now(), from,
                     {{"t", "done"}, {"id", id}, {"s", 412}, {"why", "x"}, {"q", attempt}});
   };
   refuse(head, 1);  // refuses the first attempt, while the second is under way
@@ -99,20 +99,20 @@
   EXPECT_EQ(status, -1);
   refuse(head, 2);
   EXPECT_EQ(status, 412);
-  receive_encoded(node, cluster.now(), head, {{"t", "val"}, {"id", id + 1}, {"v", "9"}});
+  receive_encoded(replica, cluster.now(), head, {{"t", "val"}, {"id", id + 1}, {"v", "9"}});
   EXPECT_EQ(value_read, -1) << "a value from a replica that was not asked counts";
-  receive_encoded(node, cluster.now(), tail, {{"t", "val"}, {"id", id + 1}, {"v", "9"}});
+  receive_encoded(replica, cluster.now(), tail, {{"t", "val"}, {"id", id + 1}, {"v", "9"}});
   EXPECT_EQ(value_read, 9);
 }
 
 // Guards against a delayed submission that reaches the head of a later view: another head may have refused it
 // since.
-TEST(ReplicaFaults, AnOfferOfAFormerViewIsNotTaken) {
+TEST(ReplicaFaults, ASubmissionOfAFormerViewIsNotApplied) {
   FaultyCluster cluster(4, 3, 3, 1);
   cluster.run_checked(1500);
   Replica& head = cluster.at(cluster.at("core0").view().head());
   auto before = head.state().last_sequence();
-  auto offer = [&](std::uint64_t view) {
+  auto submit = [&](std::uint64_t view) {
     receive_encoded(head, cluster.now(), "core2",
                     {{"t", "sub"},
                      {"id", 7 + view},
@@ -120,15 +120,15 @@
                      {"q", 1},
                      {"u", {{"key", "k0"}, {"expect", ""}, {"value", "1"}}}});
   };
-  offer(head.view().number - 1);
+  submit(head.view().number - 1);
   EXPECT_EQ(head.state().last_sequence(), before);
-  offer(head.view().number);
+  submit(head.view().number);
   EXPECT_EQ(head.state().last_sequence(), before + 1);
 }
 
 // The tail's reply acknowledges a change. A tail without a lease must not send it, although it has stored the
 // change.
-TEST(ReplicaFaults, ATailWithoutASeatAcknowledgesNothing) {
+TEST(ReplicaFaults, ATailWithoutALeaseAcknowledgesNothing) {
   FaultyCluster cluster(5, 3, 3, 1);
   cluster.run_checked(1500);
   auto view = cluster.at("core0").view();
@@ -158,7 +158,7 @@
 
 // A head that has accepted a view without itself must no longer act as leader, although another voter's lease
 // to it has not expired.
-TEST(ReplicaFaults, WhoHasAcceptedAViewWithoutItselfHasNoSeat) {
+TEST(ReplicaFaults, AHeadThatAcceptedAViewWithoutItselfHasNoLease) {
   FaultyCluster cluster(14258, 3, 3, 1);
   cluster.run_checked(1500);
   auto view = cluster.at("core0").view();
@@ -178,7 +178,7 @@
 }
 
 // Nodes are redirected only by replicas that know the present view; a standby may be one of them.
-TEST(ReplicaFaults, OnlyWhoHearsAMajorityTellsWhereToTurn) {
+TEST(ReplicaFaults, OnlyReplicasThatHearAMajorityRedirectNodes) {
   FaultyCluster cluster(6, 4, 3, 1);
   cluster.run_checked(3000);
   auto& standby = cluster.at("core3");
@@ -224,12 +224,13 @@
                                        "core1"};
     for (int i = 0; i < 60; ++i) {
       Json message = recorded[std::size_t(cluster.net.pick(int(recorded.size())))];
-      for (int k = cluster.net.pick(3); k >= 0 && message.is_object() && !message.empty(); --k) {
+      for (int mutations = cluster.net.pick(3); mutations >= 0 && message.is_object() && !message.empty();
+           --mutations) {
         auto flat = message.flatten();
-        auto at = flat.begin();
-        std::advance(at, cluster.net.pick(int(flat.size())));
-        if (at.key().empty()) break;
-        Json& field = message[Json::json_pointer(at.key())];
+        auto chosen = flat.begin();
+        std::advance(chosen, cluster.net.pick(int(flat.size())));
+        if (chosen.key().empty()) break;
+        Json& field = message[Json::json_pointer(chosen.key())];
         if (cluster.net.chance(0.2))
           message.erase(message.begin());
         else if (field.is_number_integer() && cluster.net.chance(0.3))
@@ -240,20 +241,20 @@
       std::string from = cluster.net.chance(0.8)   ? cluster.random_host()
                          : cluster.net.chance(0.5) ? "stranger"
                                                    : "";
-      Replica& node = cluster.at(cluster.random_host());
-      auto committed = node.committed();
+      Replica& replica = cluster.at(cluster.random_host());
+      auto committed = replica.committed();
       std::map<std::string, std::string> committed_values;
-      for (auto& row : node.state().rows_after(0))
+      for (auto& row : replica.state().rows_after(0))
         if (row.sequence <= committed) committed_values[row.key] = row.value;
       // A well-formed message of these types with other content can't be distinguished from a genuine one.
       bool plausible =
           well_formed(message) && (message["t"] == "up" || message["t"] == "sub" || message["t"] == "dec");
       if (plausible) continue;
-      receive_encoded(node, cluster.now(), from, message);
-      ASSERT_EQ(node.committed(), committed) << message;
+      receive_encoded(replica, cluster.now(), from, message);
+      ASSERT_EQ(replica.committed(), committed) << message;
       for (auto& [key, value] : committed_values) {
-        ASSERT_TRUE(node.state().find(key)) << message;
-        ASSERT_EQ(node.state().find(key)->value, value) << message;
+        ASSERT_TRUE(replica.state().find(key)) << message;
+        ASSERT_EQ(replica.state().find(key)->value, value) << message;
       }
     }
     cluster.run_checked(3000);  // the cluster must still work afterwards
@@ -300,9 +301,9 @@
     }
     return seen;
   };
-  Json at = observe();
+  Json initial = observe();
   for (Millis end = cluster.now() + 3000;
-       cluster.now() < end && observe() == at && !testing::Test::HasFailure();)
+       cluster.now() < end && observe() == initial && !testing::Test::HasFailure();)
     cluster.run_checked(5);
 }
 
@@ -330,7 +331,7 @@
       std::erase(cluster.hosts, victim);
     };
     std::string victim = voter();
-    bool second = five_replicas;  // whether a second replica is lost during the first loss
+    bool lose_second = five_replicas;  // whether a second replica is lost during the first loss
     switch (cluster.net.pick(7)) {
       case 0:  // crash; returns with its disk
         cluster.stop(victim);
@@ -356,7 +357,7 @@
           cluster.stop(next, true);
           cluster.run_checked(cluster.net.pick(1500));
           cluster.start(next);
-          second = false;
+          lose_second = false;
         } else {
           cluster.run_checked(cluster.net.pick(3000));
         }
@@ -375,7 +376,7 @@
           cluster.cores[cluster.random_host()]->disk = MemoryStorage();
         cluster.run_checked(cluster.net.pick(1500));
         for (auto& host : cluster.hosts) cluster.start(host);
-        second = false;
+        lose_second = false;
         cluster.run_checked(catch_up);
         break;
       }
@@ -385,7 +386,7 @@
         cluster.net.blocked_links.clear();
         break;
     }
-    if (second) {
+    if (lose_second) {
       run_until_next(cluster, cluster.net.pick(3));
       std::string next = cluster.random_host();
       if (next != victim && cluster.is_running(next) && next != new_host) {
@@ -439,7 +440,7 @@
 }
 
 // A replica that leaves stays a member and a voter until a standby holds the state and has its vote.
-TEST(ReplicaFaults, WhoLeavesHandsOverFirst) {
+TEST(ReplicaFaults, ALeavingReplicaHandsOverItsVoteFirst) {
   Millis longest = 0;
   for (std::uint32_t seed = 1; seed <= 40 && !testing::Test::HasFailure(); ++seed) {
     SCOPED_TRACE(seed);
@@ -459,12 +460,12 @@
     cluster.stop(next, true);
     // Writers also choose replicas that are down, so the test compares the answers with the requests that
     // reached a running replica.
-    int answered = cluster.answered, offered = cluster.submitted;
+    int answered_before = cluster.answered, submitted_before = cluster.submitted;
     cluster.run_checked(4000);
     cluster.writing = false;
     cluster.run_checked(replication::kSubmitTimeoutMs);  // requests under way still get their answer
-    EXPECT_GT(cluster.answered, answered);
-    EXPECT_GE(2 * (cluster.answered - answered), cluster.submitted - offered);
+    EXPECT_GT(cluster.answered, answered_before);
+    EXPECT_GE(2 * (cluster.answered - answered_before), cluster.submitted - submitted_before);
   }
   EXPECT_LE(longest, 1500) << "ms from begin_leaving() until the process has ended";
   RecordProperty("longest_ms", std::to_string(longest));
@@ -483,7 +484,7 @@
 
 // The second member crashes and loses its disk right after a view is decided: the members behind it cannot
 // obtain the state and must not be removed for that.
-TEST(ReplicaFaults, ALossRightAfterADecidedViewDoesNotStopTheCore) {
+TEST(ReplicaFaults, ALossRightAfterADecidedViewDoesNotStopTheCluster) {
   for (std::uint32_t seed = 1; seed <= 20 && !testing::Test::HasFailure(); ++seed) {
     SCOPED_TRACE(seed);
     FaultyCluster cluster(seed, 5, 3, 2);
@@ -509,7 +510,7 @@
   }
 }
 
-TEST(ReplicaFaults, WithoutOneThatStandsByItGoesAtOnce) {
+TEST(ReplicaFaults, WithoutAStandbyALeavingReplicaExitsAtOnce) {
   FaultyCluster cluster(2, 3, 3, 1);
   cluster.run_checked(2000);
   cluster.writing = true;
@@ -522,7 +523,7 @@
   while (!(cluster.at("core1").view().has_member("core0") && cluster.at("core0").in_sync()) &&
          cluster.now() < since + 5000)
     cluster.run_checked(10);
-  std::printf("back in step after %d ms\n", int(cluster.now() - since));
+  std::printf("in sync again after %d ms\n", int(cluster.now() - since));
   cluster.run_checked(4000);
   cluster.expect_healthy(3);
 }
--- a/tests/replication/replica_test.cc
+++ b/tests/replication/replica_test.cc
@@ -9,7 +9,8 @@
 namespace pebblespindle::test {
 namespace {
 
-struct Counter {                                  // the values of one key as its clients know them
+// The values of one key as its clients know them.
+struct Counter {
   int acknowledged = 0, attempts = 0, known = 0;  // known: the value that the next change expects
 };
 
@@ -93,26 +94,27 @@
       }
     }
     if (testing::Test::HasFatalFailure()) return;
-    for (int k = 0; k < 4; ++k) {
+    for (int request = 0; request < 4; ++request) {
       std::string host = pick();
       if (!cluster.is_running(host)) continue;
       std::string key = "k" + std::to_string(cluster.net.pick(3));
       auto& counter = counters[key];
-      int from = counter.known, to = ++counter.attempts + 1000 * round;
-      cluster.at(host).submit(
-          cluster.net.now,
-          {{"key", key}, {"expect", from ? std::to_string(from) : ""}, {"value", std::to_string(to)}},
-          [&counter, to](Status answer) {
-            if (answer.is_ok())
-              counter.acknowledged = std::max(counter.acknowledged, to),
-              counter.known = std::max(counter.known, to);
-          });
+      int expected = counter.known, next = ++counter.attempts + 1000 * round;
+      cluster.at(host).submit(cluster.net.now,
+                              {{"key", key},
+                               {"expect", expected ? std::to_string(expected) : ""},
+                               {"value", std::to_string(next)}},
+                              [&counter, next](Status answer) {
+                                if (answer.is_ok())
+                                  counter.acknowledged = std::max(counter.acknowledged, next),
+                                  counter.known = std::max(counter.known, next);
+                              });
       // A read must return at least what was acknowledged before it was sent.
-      int floor = counter.acknowledged;
+      int minimum = counter.acknowledged;
       cluster.at(host).read(
-          cluster.net.now, key, [&counter, floor, key](const Result<std::optional<std::string>>& value) {
+          cluster.net.now, key, [&counter, minimum, key](const Result<std::optional<std::string>>& value) {
             if (!value) return;
-            EXPECT_GE(*value ? std::stoi(**value) : 0, floor) << "a stale read of " << key;
+            EXPECT_GE(*value ? std::stoi(**value) : 0, minimum) << "a stale read of " << key;
             if (*value)
               counter.known = std::max(
                   counter.known, std::stoi(**value));  // a change without an answer may have been committed
@@ -138,7 +140,7 @@
   }
 }
 
-TEST(Replica, KeepsWhatItAcknowledgedThroughCrashesAndCuts) {
+TEST(Replica, KeepsAcknowledgedChangesThroughCrashesAndPartitions) {
   for (std::uint32_t seed = 1; seed <= 20 && !testing::Test::HasFailure(); ++seed) {
     SCOPED_TRACE(seed);
     run_faults(seed, 3, 1, 6);
@@ -152,7 +154,7 @@
   }
 }
 
-TEST(Replica, FiveCoresBearTwoLosses) {
+TEST(Replica, FiveReplicasTolerateTwoLosses) {
   for (std::uint32_t seed = 200; seed <= 212 && !testing::Test::HasFailure(); ++seed) {
     SCOPED_TRACE(seed);
     run_faults(seed, 5, 2, 9);
@@ -174,7 +176,7 @@
   }
 }
 
-TEST(Replica, UpdatesThatComeTogetherShareTheirSyncsAndFeeds) {
+TEST(Replica, ConcurrentUpdatesAreCommittedInBatches) {
   ReplicaCluster cluster(5, 5, 3, 2);
   cluster.run(6000);
   for (auto& host : cluster.hosts) cluster.cores[host]->commit_count = 0;
@@ -219,9 +221,9 @@
   cluster.start("core0");
   EXPECT_NE(cluster.at("core0").self(), "core0");
   cluster.run(5000);
-  auto& value = cluster.at("core1").view();
-  EXPECT_FALSE(value.has_voter("core0")) << "the identity whose promises are lost still votes";
-  EXPECT_TRUE(value.has_voter(cluster.at("core0").self()));
+  auto& view = cluster.at("core1").view();
+  EXPECT_FALSE(view.has_voter("core0")) << "an identity whose stored promises are lost still votes";
+  EXPECT_TRUE(view.has_voter(cluster.at("core0").self()));
   EXPECT_EQ(cluster.read("core0", "k"), "v");
 }
 
@@ -246,7 +248,7 @@
   EXPECT_EQ(cluster.read("core0", "k"), "w") << "a replica outside the view must pass requests on";
 }
 
-TEST(Replica, ACoreThatEndsInOrderIsNotWaitedFor) {
+TEST(Replica, AGracefullyStoppedReplicaIsRemovedBeforeThePeerTimeout) {
   ReplicaCluster cluster(12);
   cluster.run(1500);
   cluster.at("core0").stop(cluster.net.now);
@@ -270,17 +272,17 @@
   EXPECT_EQ(cluster.at("core2").state().find("l")->value, "v");
 }
 
-// Guards against changes that live on in memory after the disk has refused to store them.
+// Guards against changes that stay in memory after the disk has refused to store them.
 TEST(Replica, AfterARefusedWriteTheStateIsReadFromDisk) {
   ReplicaCluster cluster(4, 1, 1, 0);
   cluster.run(3000);
-  auto& core = cluster.hosts[0];
-  EXPECT_EQ(cluster.submit(core, "k", "", "kept"), 200);
-  cluster.cores[core]->disk.full = true;
-  EXPECT_NE(cluster.submit(core, "k", "kept", "never stored"), 200);
-  cluster.cores[core]->disk.full = false;
+  auto& host = cluster.hosts[0];
+  EXPECT_EQ(cluster.submit(host, "k", "", "kept"), 200);
+  cluster.cores[host]->disk.full = true;
+  EXPECT_NE(cluster.submit(host, "k", "kept", "never stored"), 200);
+  cluster.cores[host]->disk.full = false;
   cluster.run(2000);
-  EXPECT_EQ(cluster.read(core, "k"), "kept");
+  EXPECT_EQ(cluster.read(host, "k"), "kept");
 }
 
 // A delayed grant of a former view gives no lease in the present one.
@@ -290,17 +292,17 @@
   std::string victim = cluster.hosts[0];
   cluster.isolate(victim, true);
   cluster.run(3000);
-  Replica& node = cluster.at(victim);
-  ASSERT_FALSE(node.holds_lease(cluster.net.now));
+  Replica& replica = cluster.at(victim);
+  ASSERT_FALSE(replica.holds_lease(cluster.net.now));
   auto grant = [&](std::uint64_t view) {
     for (auto& other : cluster.hosts)
       if (other != victim)
-        receive_encoded(node, cluster.net.now, other, {{"t", "a"}, {"v", view}, {"at", cluster.net.now}});
+        receive_encoded(replica, cluster.net.now, other, {{"t", "a"}, {"v", view}, {"at", cluster.net.now}});
   };
-  grant(node.view().number - 1);
-  EXPECT_FALSE(node.holds_lease(cluster.net.now));
-  grant(node.view().number);
-  EXPECT_TRUE(node.holds_lease(cluster.net.now));
+  grant(replica.view().number - 1);
+  EXPECT_FALSE(replica.holds_lease(cluster.net.now));
+  grant(replica.view().number);
+  EXPECT_TRUE(replica.holds_lease(cluster.net.now));
 }
 
 }  // namespace
--- a/tests/replication/state_transfer_test.cc
+++ b/tests/replication/state_transfer_test.cc
@@ -25,20 +25,20 @@
         messages[to] += message["r"].empty() ? 0 : 1;
         longest_message = std::max(longest_message, size);
       }
-      auto& core = cores[to];
-      if (core && core->replica) receive_encoded(*core->replica, net.now, from, message);
+      auto& controller = cores[to];
+      if (controller && controller->replica) receive_encoded(*controller->replica, net.now, from, message);
     };
   }
   void fill(int rows, std::size_t size) {
-    int done = 0;
+    int acknowledged = 0;
     for (int i = 0; i < rows; ++i) {
       at(hosts[0]).submit(
           net.now, {{"key", "k" + std::to_string(i)}, {"expect", ""}, {"value", std::string(size, 'v')}},
-          [&done](Status answer) { done += answer.is_ok(); });
+          [&acknowledged](Status answer) { acknowledged += answer.is_ok(); });
       if (i % 200 == 199) run(60);
     }
     run(1000);
-    ASSERT_EQ(done, rows);
+    ASSERT_EQ(acknowledged, rows);
   }
   bool is_synced_member(const std::string& host) {
     return is_running(host) && at(host).in_sync() && at(host).view().has_member(at(host).self());
@@ -52,26 +52,26 @@
 }
 
 TEST(StateTransfer, ARestartedMemberIsSentWhatItLacks) {
-  for (Millis away : {200, 3000}) {  // the replica is still a member, or has been removed meanwhile
+  for (Millis downtime : {200, 3000}) {  // the replica is still a member, or has been removed meanwhile
     CountingCluster cluster(31);
     cluster.count();
     cluster.run(3000);
     ASSERT_NO_FATAL_FAILURE(cluster.fill(1000, 300));
     for (std::string host : {"core2", "core1", "core0"}) {
-      SCOPED_TRACE(host + " away for " + std::to_string(away));
+      SCOPED_TRACE(host + " down for " + std::to_string(downtime));
       cluster.stop(host);
       int status = -1;
       cluster.at(host == "core0" ? "core1" : "core0")
           .submit(cluster.net.now, {{"key", "of " + host}, {"expect", ""}, {"value", "v"}},
                   [&status](Status answer) { status = answer_code(answer); });
-      cluster.run(away);
+      cluster.run(downtime);
       cluster.bytes.clear();
       cluster.start(host);
       cluster.run(4000);
       EXPECT_NE(status, -1);
       EXPECT_TRUE(cluster.is_synced_member(host));
       EXPECT_EQ(by_key(cluster.at(host).state()), by_key(cluster.at("core1").state()));
-      for (auto& [to, n] : cluster.bytes) EXPECT_LT(n, 1000 * 300 / 20) << to;
+      for (auto& [to, byte_count] : cluster.bytes) EXPECT_LT(byte_count, 1000 * 300 / 20) << to;
     }
   }
 }
@@ -86,12 +86,12 @@
   cluster.run(100);
   cluster.bytes.clear();
   cluster.start("core2");
-  int changes = 0, asked = 0;
+  int acknowledged = 0, submitted = 0;
   for (int i = 0; i < 60; ++i) {  // changes submitted during the transfer
-    ++asked;
+    ++submitted;
     cluster.at("core0").submit(cluster.net.now,
                                {{"key", "live" + std::to_string(i)}, {"expect", ""}, {"value", "v"}},
-                               [&changes](Status answer) { changes += answer.is_ok(); });
+                               [&acknowledged](Status answer) { acknowledged += answer.is_ok(); });
     cluster.run(100);
   }
   cluster.run(2000);
@@ -99,7 +99,7 @@
   EXPECT_EQ(by_key(cluster.at("core2").state()), by_key(cluster.at("core0").state()));
   EXPECT_LT(cluster.longest_message, kMaxLinkBytes / 4);
   EXPECT_LT(cluster.bytes["core2"], 900 * 10000 * 6 / 5) << "rows were sent more than once";
-  EXPECT_GT(changes, asked / 2) << "the chain made no progress during the transfer";
+  EXPECT_GT(acknowledged, submitted / 2) << "the chain made no progress during the transfer";
   // Three view changes suffice: the lost replica is removed, the new one joins, and it becomes a voter.
   EXPECT_LE(cluster.at("core0").view().number, view + 3);
 }
@@ -117,32 +117,32 @@
   cluster.run(3000);
   ASSERT_NO_FATAL_FAILURE(cluster.fill(800, 300));
   cluster.start("core3");
-  int breaks = 0;
-  for (int i = 0; i < 4000 && !(cluster.at("core3").received_row_count() > 200 * std::size_t(breaks + 1));
-       ++i)
+  int interruptions = 0;
+  for (int i = 0;
+       i < 4000 && !(cluster.at("core3").received_row_count() > 200 * std::size_t(interruptions + 1)); ++i)
     cluster.run(1);
-  const std::size_t before = cluster.at("core3").received_row_count();
-  ASSERT_GT(before, 100u);
-  ASSERT_LT(before, 700u);
+  const std::size_t rows_before = cluster.at("core3").received_row_count();
+  ASSERT_GT(rows_before, 100u);
+  ASSERT_LT(rows_before, 700u);
   EXPECT_EQ(cluster.at("core3").state().size(), 0u) << "a partial state is in use";
   // The receiver crashes, and so does its source: another source continues the transfer.
   cluster.stop("core3");
   cluster.stop(cluster.at("core0").view().tail());
   cluster.run(300);
   cluster.start("core3");
-  EXPECT_EQ(cluster.at("core3").received_row_count(), before) << "the received rows must be on the disk";
+  EXPECT_EQ(cluster.at("core3").received_row_count(), rows_before) << "the received rows must be on the disk";
   EXPECT_EQ(cluster.at("core3").state().size(), 0u);
   cluster.bytes.clear();
   cluster.run(6000);
   EXPECT_TRUE(cluster.is_synced_member("core3"));
   EXPECT_EQ(by_key(cluster.at("core3").state()), by_key(cluster.at("core0").state()));
-  EXPECT_LT(cluster.bytes["core3"], (800 - before) * 400 * 6 / 5)
+  EXPECT_LT(cluster.bytes["core3"], (800 - rows_before) * 400 * 6 / 5)
       << "rows that were stored before are sent again";
 }
 
 // The head assigns sequence numbers to changes that no other replica receives, and crashes; the others assign
 // the same numbers again. When it returns, it holds other rows under these numbers.
-TEST(StateTransfer, NumbersOfALostSuffixAreToldApart) {
+TEST(StateTransfer, ReusedSequenceNumbersOfALostSuffixAreDistinguished) {
   for (bool as_head : {false, true}) {
     CountingCluster cluster(34);
     cluster.count();
@@ -156,13 +156,13 @@
     cluster.at("core0").submit(cluster.net.now, {{"key", "a"}, {"expect", "1"}, {"value", "x"}},
                                [](Status) {});
     cluster.run(5);
-    const std::uint64_t number = cluster.at("core0").state().last_sequence();
+    const std::uint64_t lost_sequence = cluster.at("core0").state().last_sequence();
     cluster.stop("core0");
     cluster.drop_message = {};
     cluster.run(3000);
     ASSERT_EQ(cluster.submit("core1", "b", "", "1"), 200);
     ASSERT_EQ(cluster.submit("core1", "c", "", "1"), 200);
-    ASSERT_GE(cluster.at("core1").state().last_sequence(), number);
+    ASSERT_GE(cluster.at("core1").state().last_sequence(), lost_sequence);
     cluster.start("core0");
     cluster.run(4000);
     ASSERT_TRUE(cluster.is_synced_member("core0"));
@@ -211,10 +211,10 @@
   ReplicaCluster cluster(36);
   cluster.run(3000);
   ASSERT_EQ(cluster.submit("core0", "a", "", "1"), 200);
-  MemoryStorage old = cluster.cores["core0"]->disk;
+  MemoryStorage older_copy = cluster.cores["core0"]->disk;
   ASSERT_EQ(cluster.submit("core0", "a", "1", "2"), 200);
   cluster.stop("core0");
-  cluster.cores["core0"]->disk = old;
+  cluster.cores["core0"]->disk = older_copy;
   cluster.start("core0");
   cluster.run(5000);
   EXPECT_EQ(cluster.read("core0", "a"), "2");
@@ -222,7 +222,7 @@
   EXPECT_EQ(cluster.at("core0").state().find("a")->value, "3");
 }
 
-// A new replica whose state requests are answered by the test alone.
+// A new replica whose state requests are answered only by the test.
 struct ScriptedTransfer : ReplicaCluster {
   Json last_request;
   explicit ScriptedTransfer(std::uint32_t seed) : ReplicaCluster(seed) {
@@ -297,7 +297,7 @@
     else
       deliver(to, from, message);
   };
-  auto ask = [&](std::uint64_t term) {
+  auto restarts_transfer = [&](std::uint64_t term) {
     answer = Json();
     Json progress{{"w", true}, {"e", false}, {"c", "k1"}, {"b", 99}, {"bk", ""}, {"k", 3}, {"kt", term}};
     Json message{{"t", "have"}, {"n", tail.view().number}, {"q", 1}, {"s", 0}, {"c", 0}, {"k", 0},
@@ -307,9 +307,9 @@
     return answer.contains("new");
   };
   std::uint64_t term = tail.view().term;
-  EXPECT_FALSE(ask(term)) << answer.dump();
+  EXPECT_FALSE(restarts_transfer(term)) << answer.dump();
   EXPECT_EQ(answer["r"][0][0], "k2") << "the transfer must continue at its position";
-  EXPECT_TRUE(ask(term + 7)) << answer.dump();
+  EXPECT_TRUE(restarts_transfer(term + 7)) << answer.dump();
   EXPECT_EQ(answer["r"][0][0], "k0");
 }
 
@@ -320,8 +320,8 @@
   cluster.run(3000);
   ASSERT_EQ(cluster.submit("core0", "a", "", "1"), 200);
   auto view = cluster.at("core0").view();
-  Replica& next = cluster.at(view.members[1].id);
-  const std::uint64_t last_sequence = next.state().last_sequence();
+  Replica& successor = cluster.at(view.members[1].id);
+  const std::uint64_t last_sequence = successor.state().last_sequence();
   auto append_with_term = [&](std::uint64_t term) {
     Json message{{"t", "up"},
                  {"n", view.number},
@@ -329,8 +329,8 @@
                  {"bt", term},
                  {"k", last_sequence + 1},
                  {"r", Json::array({Json::array({"b", last_sequence + 1, "1"})})}};
-    receive_encoded(next, cluster.net.now, view.head(), Json::parse(message.dump()));
-    return next.state().last_sequence();
+    receive_encoded(successor, cluster.net.now, view.head(), Json::parse(message.dump()));
+    return successor.state().last_sequence();
   };
   EXPECT_EQ(append_with_term(view.term + 1), last_sequence);
   EXPECT_EQ(append_with_term(view.term), last_sequence + 1);
@@ -338,34 +338,33 @@
 
 // Hundreds of changes, while replicas crash, lose their disks, are cut off or all restart at once, never more
 // at a time than are tolerated. Chunks are so small that each state takes many, and tombstones are compacted
-// at once, so that whoever was away is behind the compaction. No acknowledged change may be lost or undone,
-// and in the end all replicas must hold the same rows.
+// at once, so that a returning replica is behind the compaction point. No acknowledged change may be lost or
+// undone, and in the end all replicas must hold the same rows.
 void run_mixed_faults(std::uint32_t seed) {
   ReplicaCluster cluster(seed, 4, 3, 1);
   cluster.chunk_bytes = 20 + std::size_t(cluster.net.pick(300));
   cluster.run(1400);
-  struct Key {
+  struct TrackedKey {
     std::string acknowledged, last;
     bool known = true;  // the acknowledged value is the present one
   };
-  std::map<std::string, Key> keys;
+  std::map<std::string, TrackedKey> keys;
   int serial = 0;
   std::vector<std::string> down;
   Millis lost_until = 0;  // a loss counts until the replica has had time to catch up
   auto change = [&] {
     std::string key = "k" + std::to_string(cluster.net.pick(25));
-    Key& last_sequence = keys[key];
+    TrackedKey& tracked = keys[key];
     auto& host = cluster.hosts[std::size_t(cluster.net.pick(4))];
-    if (!last_sequence.known || !cluster.is_running(host)) return;
-    std::string value = cluster.net.chance(0.25) && !last_sequence.acknowledged.empty()
+    if (!tracked.known || !cluster.is_running(host)) return;
+    std::string value = cluster.net.chance(0.25) && !tracked.acknowledged.empty()
                             ? ""
                             : std::to_string(++serial) + std::string(std::size_t(cluster.net.pick(60)), 'v');
-    last_sequence.known = false;
+    tracked.known = false;
     cluster.at(host).submit(cluster.net.now,
-                            {{"key", key}, {"expect", last_sequence.acknowledged}, {"value", value}},
-                            [&last_sequence, value](Status answer) {
-                              if (answer.is_ok())
-                                last_sequence.acknowledged = value, last_sequence.known = true;
+                            {{"key", key}, {"expect", tracked.acknowledged}, {"value", value}},
+                            [&tracked, value](Status answer) {
+                              if (answer.is_ok()) tracked.acknowledged = value, tracked.known = true;
                             });
   };
   for (int round = 0; round < 10; ++round) {
@@ -412,7 +411,7 @@
   for (auto& host : down)
     if (!cluster.is_running(host)) cluster.start(host);
   ASSERT_NO_FATAL_FAILURE(cluster.run(5000));
-  auto live = [&](const std::string& host) {
+  auto undeleted_rows = [&](const std::string& host) {
     std::map<std::string, std::string> rows;
     for (auto& row : cluster.at(host).state().rows_after(0))
       if (!row.deleted) rows[row.key] = row.value;
@@ -423,20 +422,20 @@
   for (auto& host : cluster.hosts) {
     if (!cluster.at(host).in_sync()) continue;
     ++in_sync_count;
-    if (!expected) expected = live(host);
-    EXPECT_EQ(live(host), *expected) << host;
+    if (!expected) expected = undeleted_rows(host);
+    EXPECT_EQ(undeleted_rows(host), *expected) << host;
   }
   EXPECT_GE(in_sync_count, 3u) << "not in sync after the faults have ended";
   EXPECT_EQ(cluster.at(cluster.hosts[0]).view().voters.size(), 3u);
   ASSERT_TRUE(expected);
-  for (auto& [key, last_sequence] : keys) {
-    if (!last_sequence.known) continue;
-    auto it = expected->find(key);
-    EXPECT_EQ(it == expected->end() ? "" : it->second, last_sequence.acknowledged) << key;
+  for (auto& [key, tracked] : keys) {
+    if (!tracked.known) continue;
+    auto entry = expected->find(key);
+    EXPECT_EQ(entry == expected->end() ? "" : entry->second, tracked.acknowledged) << key;
   }
 }
 
-TEST(StateTransfer, AllHoldTheSameAfterHundredsOfChangesAndAnyMixOfTroubles) {
+TEST(StateTransfer, AllReplicasHoldTheSameRowsAfterMixedFaults) {
   for (std::uint32_t seed = 1; seed <= seeds(500); ++seed) {
     SCOPED_TRACE(seed);
     run_mixed_faults(seed);
