--- a/tests/failover/failover_test.cc
+++ b/tests/failover/failover_test.cc
@@ -13,20 +13,20 @@
     cluster.platform_error_rate = seed % 3 == 0 ? 0.4 : 0;
     for (int round = 0; round < 8; ++round) {
       std::string victim = "db" + std::to_string(cluster.rng() % 3);
-      auto& database = cluster.databases[victim];
+      auto& faulty = cluster.databases[victim];
       switch (cluster.rng() % 4) {
         case 0:
-          database.up = false;
+          faulty.up = false;
           break;
         case 1:
-          database.unreachable = true;
+          faulty.unreachable = true;
           break;
         case 2:
-          database.replication_blocked = true;
+          faulty.replication_blocked = true;
           break;
         default:
-          if (database.primary) {
-            database.draining = true;
+          if (faulty.primary) {
+            faulty.draining = true;
             cluster.apply(put_instance(cluster.instance(victim)));
           }
       }
--- a/tests/replication/replica_test.cc
+++ b/tests/replication/replica_test.cc
@@ -261,7 +261,7 @@
   ReplicaCluster cluster(11);
   cluster.run(1500);
   cluster.cores["core2"]->disk.full = true;
-  EXPECT_EQ(cluster.submit("core0", "k", "", "v"), 200) << "the other replicas must go on at once";
+  EXPECT_EQ(cluster.submit("core0", "k", "", "v"), 200) << "the other replicas must continue at once";
   cluster.run(3000);
   EXPECT_TRUE(cluster.at("core2").disk_failed());
   EXPECT_FALSE(cluster.at("core0").view().has_member("core2"));
@@ -285,7 +285,7 @@
   EXPECT_EQ(cluster.read(host, "k"), "kept");
 }
 
-// A delayed grant of a former view gives no lease in the present one.
+// A delayed grant from a former view gives no lease in the present view.
 TEST(Replica, AGrantOfAFormerViewGivesNoLease) {
   ReplicaCluster cluster(6);
   cluster.run(4000);
