--- a/tests/sidecar/exit_test.cc
+++ b/tests/sidecar/exit_test.cc
@@ -6,7 +6,7 @@
 namespace {
 
 // Guards against requests that are accepted long after SIGTERM and lost while their database works on them.
-TEST(SidecarExit, ARequestThatComesLateIsRefusedAndOfferedToNobody) {
+TEST(SidecarExit, ARequestAfterShutdownBeganIsRefusedAndNotOffered) {
   OutboundHalf sender;
   sender.ask(1, true);
   sender.out.stop_accepting();
@@ -18,7 +18,7 @@
   EXPECT_EQ(sender.status(1), 200);
 }
 
-TEST(SidecarExit, WhatWasTakenInTimeMayStillBeTriedElsewhere) {
+TEST(SidecarExit, AnAcceptedRequestMayStillBeRetriedElsewhere) {
   OutboundHalf sender;
   sender.ask(1, false);
   sender.out.stop_accepting();
@@ -29,7 +29,7 @@
 }
 
 // Guards against a complete request that gets no response at all.
-TEST(SidecarExit, WhatIsGivenUpIsAnswered) {
+TEST(SidecarExit, PendingRequestsAreAnsweredWhenShutdownGivesThemUp) {
   OutboundHalf sender;
   sender.ask(1, false);
   sender.ask(2, false);
@@ -61,7 +61,7 @@
 }
 
 // Guards against requests of other machines that a sidecar accepts while it shuts down, and then loses.
-TEST(SidecarExit, OffersThatComeLateAreTurnedAwayAndWhatRunsIsAnswered) {
+TEST(SidecarExit, OffersAfterShutdownBeganAreRefusedAndRunningOnesAnswered) {
   InboundHalf receiver;
   receiver.offer(1, false);
   receiver.in.app_connection_up(receiver.opened.at(0));
@@ -75,7 +75,7 @@
   EXPECT_EQ(receiver.in.pending_count(), 0u);
 }
 
-TEST(SidecarExit, OffersThatAreGivenUpAreToldOf) {
+TEST(SidecarExit, PendingOffersAreAnsweredWhenShutdownGivesThemUp) {
   InboundHalf receiver;
   receiver.offer(1, false);
   receiver.offer(2, false);
--- a/tests/sidecar/inbound_test.cc
+++ b/tests/sidecar/inbound_test.cc
@@ -54,7 +54,7 @@
 
 // Guards against refusing a request with a near latency target because of queued requests that it would
 // overtake.
-TEST_F(Admission, OnlyThoseThatGoBeforeARequestCountForItsWait) {
+TEST_F(Admission, OnlyRequestsAheadInTheQueueCountForTheWait) {
   occupy_slots();
   for (std::uint64_t number = 4; number < 10; ++number) offer(number, kDeadlineMs, 2 * kDeadlineMs);
   offer(10, kWorkMs, 4 * kWorkMs);
@@ -63,21 +63,21 @@
   EXPECT_EQ(*find_field(receiver_.written.back().second.fields, kRequestIdField), "q10");
 }
 
-TEST_F(Admission, WhatCouldNotEndWithinItsAimIsRefusedAtOnce) {
+TEST_F(Admission, ARequestThatCannotMeetItsLatencyTargetIsRefusedAtOnce) {
   occupy_slots();
   offer(4, kTargetLatencyMs, kWorkMs);
   EXPECT_EQ(refusal(4), "full");
   EXPECT_TRUE(bool_field(receiver_.replies.at(4), "w")) << "the sender must not queue it at another database";
 }
 
-TEST_F(Admission, ErrorsOfADatabasesOwnDoNotCloseItOff) {
+TEST_F(Admission, ErrorResponsesDoNotMarkADatabaseAsDown) {
   for (std::uint64_t number = 1; number <= 4 * kFailuresUntilDown; ++number) {
     offer(number, 0);
     finish_oldest(500);
     ASSERT_EQ(text_field(receiver_.replies.at(number), "t"), "a") << number;
   }
   EXPECT_GT(receiver_.replies.at(4 * kFailuresUntilDown).at("l").at(3).get<int>(), 50)
-      << "the reply reports the error rate to the sender";
+      << "the reply reports the share of failures to the sender";
 }
 
 }  // namespace
--- a/tests/sidecar/outbound_test.cc
+++ b/tests/sidecar/outbound_test.cc
@@ -31,7 +31,7 @@
 
 // Guards against choosing a stopped machine because no requests are counted there: requests waited 400 ms for
 // a link to it.
-TEST_F(Choice, NobodyWaitsForALinkWhereAnotherIsUp) {
+TEST_F(Choice, RequestsGoToALinkedDatabaseInsteadOfWaitingForALink) {
   ASSERT_GT(all_databases_.size(), 2u);
   const Endpoint linked = *all_databases_.begin();
   for (auto& address : all_databases_)
@@ -90,7 +90,7 @@
   EXPECT_EQ(std::set<Endpoint>(caller_.connected.begin(), caller_.connected.end()), all_databases_);
 }
 
-TEST_F(Choice, WhoeverHasNoRoomForARouteIsNotAskedForAWhile) {
+TEST_F(Choice, ADatabaseWithoutRoomForARouteIsSkippedForAWhile) {
   const Endpoint crowded = *all_databases_.begin();
   const std::size_t first = caller_.offers.size() - kRequests;
   for (std::size_t i = first; i < first + kRequests; ++i)
@@ -104,7 +104,7 @@
 }
 
 // Guards against an overflow or an endless wait after a peer reports an absurd queue length.
-TEST_F(Choice, AnAbsurdQueueCountsNoLongerThanTheLongest) {
+TEST_F(Choice, AnAbsurdQueueLengthCountsNoLongerThanTheMaximumTtl) {
   const Endpoint full = *all_databases_.begin();
   for (const Json& queued :
        {Json(std::numeric_limits<std::int64_t>::max()), Json(std::numeric_limits<std::int64_t>::min()),
@@ -124,7 +124,7 @@
 }
 
 // Asking one database after the other for a free slot would overload the links.
-TEST_F(Choice, WhereARouteIsCrowdedARequestIsOfferedOnceAndWaitsThere) {
+TEST_F(Choice, ARequestOfACrowdedRouteIsOfferedOnceAndQueuedThere) {
   const std::size_t first = caller_.offers.size() - kRequests;
   caller_.reply_to(first, {{"t", "no"}, {"y", "full"}, {"w", true}, {"l", {2, 9, 2, 0}}});
   const std::size_t before = caller_.offers.size();
