--- a/tests/sidecar/mesh_cluster.h
+++ b/tests/sidecar/mesh_cluster.h
@@ -224,7 +224,7 @@
       const Execution& execution = w.runs[std::size_t(std::stoi(*run))];
       ASSERT_EQ(execution.id, id) << "the response to another request";
       ASSERT_EQ(request.head ? "" : execution.body, response.body)
-          << "the body is not that of the execution named in the response";
+          << "the body contains parts of another response";
       ASSERT_FALSE(execution.aborted) << "a response from a database connection that had closed";
     } else {
       ASSERT_TRUE(response.body.empty()) << "a body that no database sent";
--- a/tests/sidecar/sidecar_test.cc
+++ b/tests/sidecar/sidecar_test.cc
@@ -99,14 +99,14 @@
     failure_rates.resize(kNodes);
     for (int i = 0; i < kNodes; ++i) nodes.push_back(nullptr), start(i);
   }
-  static Endpoint address_of(int i) { return {"10.0.0." + std::to_string(i + 1), 7002}; }
+  static Endpoint address_of(int node) { return {"10.0.0." + std::to_string(node + 1), 7002}; }
   static int node_at(const Endpoint& endpoint) { return std::stoi(endpoint.host.substr(7)) - 1; }
   int pick(int count) { return int(rng() % std::uint32_t(count)); }
   bool chance(double probability) { return std::uniform_real_distribution<>(0, 1)(rng) < probability; }
   void schedule(Millis ms, std::function<void()> event) { events.emplace(now + ms, std::move(event)); }
-  void start(int i) {
-    ++incarnations[i];
-    nodes[std::size_t(i)] = std::make_unique<Node>(*this, i);
+  void start(int node) {
+    ++incarnations[node];
+    nodes[std::size_t(node)] = std::make_unique<Node>(*this, node);
   }
   bool is_partitioned(int a, int b) { return partitions.count({std::min(a, b), std::max(a, b)}) > 0; }
   // Delivers a message between two machines in order, unless either has restarted by then.
