--- a/tests/pooler/engine_fuzz_test.cc
+++ b/tests/pooler/engine_fuzz_test.cc
@@ -1,5 +1,5 @@
 // Random and mutated lines at every parser of the pooler: no crash, bounded
-// memory, no answer to another caller. PEBBLESPINDLE_FUZZ asks for more rounds than an ordinary run.
+// memory, and no answer to the wrong caller. PEBBLESPINDLE_FUZZ multiplies the number of rounds.
 #include <cstdlib>
 #include <random>
 
@@ -11,13 +11,13 @@
 namespace pebblespindle::test {
 namespace {
 
-int rounds(int ordinary) {
-  const char* many = std::getenv("PEBBLESPINDLE_FUZZ");
-  return many ? ordinary * std::max(1, std::atoi(many)) : ordinary;
+int rounds(int default_rounds) {
+  const char* factor = std::getenv("PEBBLESPINDLE_FUZZ");
+  return factor ? default_rounds * std::max(1, std::atoi(factor)) : default_rounds;
 }
 
-struct Bytes {
-  explicit Bytes(std::uint32_t seed) : rng(seed) {}
+struct InputGenerator {
+  explicit InputGenerator(std::uint32_t seed) : rng(seed) {}
   int pick(int n) { return int(rng() % std::uint32_t(n)); }
   char any() {
     switch (pick(4)) {
@@ -31,106 +31,109 @@
         return char(pick(256));
     }
   }
-  std::string random(int most) {
-    std::string s;
-    for (int n = pick(most + 1); n > 0; --n) s += any();
-    return s;
+  std::string random(int max_size) {
+    std::string text;
+    for (int n = pick(max_size + 1); n > 0; --n) text += any();
+    return text;
   }
-  // Cut, doubled, swapped, strewn with other bytes.
-  std::string mutated(std::string s) {
+  // Returns the text with random bytes inserted, erased, replaced or repeated, or with its end cut off.
+  std::string mutated(std::string text) {
     for (int n = 1 + pick(4); n > 0; --n) {
-      std::size_t at = s.empty() ? 0 : std::size_t(pick(int(s.size())));
+      std::size_t at = text.empty() ? 0 : std::size_t(pick(int(text.size())));
       switch (pick(6)) {
         case 0:
-          s.insert(at, 1, any());
+          text.insert(at, 1, any());
           break;
         case 1:
-          s.erase(at, std::size_t(1 + pick(4)));
+          text.erase(at, std::size_t(1 + pick(4)));
           break;
         case 2:
-          if (!s.empty()) s[at] = any();
+          if (!text.empty()) text[at] = any();
           break;
         case 3:
-          s.resize(at);
+          text.resize(at);
           break;
         case 4:
-          s.insert(at, s.substr(at, std::size_t(pick(20))));
+          text.insert(at, text.substr(at, std::size_t(pick(20))));
           break;
         default:
-          s.insert(at, std::string(std::size_t(pick(40)), any()));
+          text.insert(at, std::string(std::size_t(pick(40)), any()));
       }
     }
-    return s;
+    return text;
   }
   std::mt19937 rng;
 };
 
-std::string one_line(std::string s) {  // as a reader of lines hands it on
-  std::erase(s, '\n');
-  if (!s.empty() && s.back() == '\r') s.pop_back();
-  return s;
+std::string one_line(std::string text) {  // as a LineConnection delivers it
+  std::erase(text, '\n');
+  if (!text.empty() && text.back() == '\r') text.pop_back();
+  return text;
 }
 
-TEST(Fuzz, TheReadersOfFieldsTakeAnyBytes) {
-  Bytes b(1);
+TEST(Fuzz, FieldParsersAcceptAnyBytes) {
+  InputGenerator generator(1);
   const char* good[] = {"WAITFOR 3.1 FETCH a",     "BEGIN FETCH",   "EXECUTE n k v",
                         "PREPARE n STORE q",       "CONFIGURE a b", "I 3.17",
                         "primary 3 3.9 0 12 2 17", "RELEASE n",     "99999999999999999999.1",
                         "1.18446744073709551615"};
   for (int i = 0; i < rounds(20000); ++i) {
-    std::string s = b.pick(3) ? b.mutated(good[b.pick(int(std::size(good)))]) : b.random(60);
-    auto inside = [&](std::string_view v) {
-      return v.empty() || (v.data() >= s.data() && v.data() + v.size() <= s.data() + s.size());
+    std::string line = generator.pick(3) ? generator.mutated(good[generator.pick(int(std::size(good)))])
+                                         : generator.random(60);
+    auto inside = [&](std::string_view part) {
+      return part.empty() ||
+             (part.data() >= line.data() && part.data() + part.size() <= line.data() + line.size());
     };
-    auto st = sql_protocol::parse_statement(s);
-    ASSERT_TRUE(inside(st.name) && inside(st.rest));
-    std::string_view rest = s;
-    for (std::size_t n = 0; !rest.empty(); ++n) {
+    auto statement = sql_protocol::parse_statement(line);
+    ASSERT_TRUE(inside(statement.name) && inside(statement.rest));
+    std::string_view rest = line;
+    for (std::size_t fields = 0; !rest.empty(); ++fields) {
       ASSERT_EQ(sql_protocol::take(rest).find(' '), std::string_view::npos);
-      ASSERT_LE(n, s.size());
+      ASSERT_LE(fields, line.size());
     }
-    auto idle = sql_protocol::parse_idle(s);
+    auto idle = sql_protocol::parse_idle(line);
     ASSERT_TRUE(!idle || idle->state == 'I' || idle->state == 'T' || idle->state == 'E');
-    sql_protocol::parse_info(s);
-    auto p = Position::parse(s);
-    ASSERT_TRUE(!p || Position::parse(p->text()) == p);
+    sql_protocol::parse_info(line);
+    auto position = Position::parse(line);
+    ASSERT_TRUE(!position || Position::parse(position->text()) == position);
   }
 }
 
-// Lines come out as they went in, however the stream is cut; one that is too long ends it.
-TEST(Fuzz, TheReaderOfLinesHandsOnWhatWasSent) {
-  Bytes b(2);
+// The lines are the same however the stream is split into pieces. A line that is too long ends the
+// connection.
+TEST(Fuzz, LineConnectionDeliversTheLinesThatWereSent) {
+  InputGenerator generator(2);
   asio::io_context io;
   asio::ip::tcp::acceptor acceptor(io, {asio::ip::address_v4::loopback(), 0});
-  constexpr std::size_t kMost = 64;
+  constexpr std::size_t kMaxLineBytes = 64;
   for (int i = 0; i < rounds(150); ++i) {
     std::string stream;
     std::vector<std::string> wanted;
     bool too_long = false;
-    for (int n = b.pick(60); n > 0; --n) {
-      std::string raw = b.random(b.pick(40) ? 50 : 90);
+    for (int n = generator.pick(60); n > 0; --n) {
+      std::string raw = generator.random(generator.pick(40) ? 50 : 90);
       std::erase(raw, '\n');
       stream += raw + "\n";
-      too_long = too_long || raw.size() > kMost;
+      too_long = too_long || raw.size() > kMaxLineBytes;
       if (!too_long) wanted.push_back(one_line(raw));
     }
-    const std::string rest = one_line(b.random(40));  // a line that is never ended
+    const std::string rest = one_line(generator.random(40));  // a line that is never ended
     stream += rest;
     asio::ip::tcp::socket far(io), near(io);
     far.connect(acceptor.local_endpoint());
     acceptor.accept(near);
-    auto conn = std::make_shared<LineConnection>(std::move(near), kMost);
+    auto connection = std::make_shared<LineConnection>(std::move(near), kMaxLineBytes);
     std::vector<std::string> got;
     std::optional<LineConnection::End> end;
-    conn->start({[&](std::string_view line) { got.emplace_back(line); },
-                 [&](LineConnection::End e) { end = e; },
-                 {}});
+    connection->start({[&](std::string_view line) { got.emplace_back(line); },
+                       [&](LineConnection::End reason) { end = reason; },
+                       {}});
     for (std::size_t from = 0; from < stream.size();) {
-      std::size_t n = std::min(stream.size() - from, std::size_t(1 + b.pick(200)));
+      std::size_t size = std::min(stream.size() - from, std::size_t(1 + generator.pick(200)));
       asio::error_code ignored;
-      asio::write(far, asio::buffer(stream.data() + from, n), ignored);
-      from += n;
-      if (b.pick(2)) io.restart(), io.poll();
+      asio::write(far, asio::buffer(stream.data() + from, size), ignored);
+      from += size;
+      if (generator.pick(2)) io.restart(), io.poll();
     }
     asio::error_code ignored;
     far.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
@@ -138,43 +141,44 @@
     ASSERT_TRUE(end);
     ASSERT_EQ(*end == LineConnection::End::kTooLong, too_long);
     ASSERT_EQ(got, wanted);
-    conn->close();
+    connection->close();
     io.restart(), io.poll();
   }
 }
 
-// Answers as well-behaved databases do, with the name of the statement in each answer.
-void serve_well(ManualDatabases& q, std::map<ConnectionId, bool>& tx) {
+// Answers every pending statement correctly, with the name of the statement in each answer.
+void answer_correctly(ManualDatabases& databases, std::map<ConnectionId, bool>& tx) {
   for (bool more = true; more;) {
     more = false;
-    for (auto& [conn, l] : q.connections) {
-      if (!l.open || l.pending.empty()) continue;
-      const std::string line = std::move(l.pending.front());
-      l.pending.erase(l.pending.begin());
+    for (auto& [id, connection] : databases.connections) {
+      if (!connection.open || connection.pending.empty()) continue;
+      const std::string line = std::move(connection.pending.front());
+      connection.pending.erase(connection.pending.begin());
       more = true;
       std::string_view rest = line;
       if (sql_protocol::take(rest) == "CONNECT") {
-        q.read(conn, {"IDLE I 1.1"});
+        databases.read(id, {"IDLE I 1.1"});
         break;
       }
       const std::string name(sql_protocol::take(rest));
-      if (rest.starts_with("BEGIN") || rest.find(" BEGIN") != std::string_view::npos) tx[conn] = true;
-      if (rest == "COMMIT" || rest == "ROLLBACK") tx[conn] = false;
-      const std::string idle = tx[conn] ? "IDLE T 1.2" : "IDLE I 1.2";
+      if (rest.starts_with("BEGIN") || rest.find(" BEGIN") != std::string_view::npos) tx[id] = true;
+      if (rest == "COMMIT" || rest == "ROLLBACK") tx[id] = false;
+      const std::string idle = tx[id] ? "IDLE T 1.2" : "IDLE I 1.2";
       auto verb = sql_protocol::parse_statement(rest).verb;
-      bool own = name == "-" && verb != sql_protocol::Verb::kFetch && verb != sql_protocol::Verb::kStore &&
-                 verb != sql_protocol::Verb::kExecute && verb != sql_protocol::Verb::kCommit;
-      if (own)
-        q.read(conn, {"COMPLETE -", idle});
+      bool is_setup = name == "-" && verb != sql_protocol::Verb::kFetch &&
+                      verb != sql_protocol::Verb::kStore && verb != sql_protocol::Verb::kExecute &&
+                      verb != sql_protocol::Verb::kCommit;
+      if (is_setup)
+        databases.read(id, {"COMPLETE -", idle});
       else
-        q.read(conn, {"DATAROW of-" + name, "COMPLETE st-" + name, idle});
+        databases.read(id, {"DATAROW of-" + name, "COMPLETE st-" + name, idle});
       break;
     }
   }
 }
 
-// One client sends arbitrary lines; another, on the same pool, gets its own answers and nothing else.
-TEST(Fuzz, AClientsBytesTouchNoOther) {
+// One client sends arbitrary lines. Another, on the same pool, must get its own answers and nothing else.
+TEST(Fuzz, InputOfOneClientDoesNotAffectAnother) {
   const char* good[] = {"QUERY x1 FETCH a",
                         "QUERY x1 STORE a b",
                         "QUERY x1 BEGIN",
@@ -190,170 +194,180 @@
                         "QUERY - FETCH a",
                         "QUERY x1 WAITFOR 1.1 FETCH a"};
   for (int i = 0; i < rounds(60); ++i) {
-    Bytes b(std::uint32_t(1000 + i));
-    ManualDatabases q(16);
-    q.feed();
-    q.lease(1000000);
+    InputGenerator generator(std::uint32_t(1000 + i));
+    ManualDatabases databases(16);
+    databases.feed();
+    databases.lease(1000000);
     std::map<ConnectionId, bool> tx;
-    q.answers_setup_by_hand = true;
-    q.connect(1);
-    q.take_output(1);
-    SessionId wild = 1;
+    databases.answers_setup_by_hand = true;
+    databases.connect(1);
+    databases.take_output(1);
+    SessionId fuzzing_session = 1;
     for (int n = 0; n < 120; ++n) {
-      if (q.ended.count(wild) || wild == 1) {
-        q.engine.on_client_connected(++wild);
-        if (b.pick(4)) q.send_line(wild, "CONNECT prim a");
+      if (databases.ended.count(fuzzing_session) || fuzzing_session == 1) {
+        databases.engine.on_client_connected(++fuzzing_session);
+        if (generator.pick(4)) databases.send_line(fuzzing_session, "CONNECT prim a");
       }
-      int lines = 1 + b.pick(3);
-      for (int k = 0; k < lines && !q.engine.has_backlog(wild); ++k)
-        q.send_line(wild,
-                    one_line(b.pick(5) ? b.mutated(good[b.pick(int(std::size(good)))]) : b.random(200)));
-      if (b.pick(30) == 0) q.send_line(wild, "QUERY z STORE k " + std::string(100000, 'x'));
+      int lines = 1 + generator.pick(3);
+      for (int sent = 0; sent < lines && !databases.engine.has_backlog(fuzzing_session); ++sent)
+        databases.send_line(
+            fuzzing_session,
+            one_line(generator.pick(5) ? generator.mutated(good[generator.pick(int(std::size(good)))])
+                                       : generator.random(200)));
+      if (generator.pick(30) == 0)
+        databases.send_line(fuzzing_session, "QUERY z STORE k " + std::string(100000, 'x'));
       const std::string id = "mine" + std::to_string(n);
-      q.send_line(1, "QUERY " + id + " FETCH k");
-      serve_well(q, tx);
-      ASSERT_EQ(q.take_output(1), "DATAROW of-" + id + "\r\nCOMPLETE st-" + id + "\r\nIDLE I -\r\n")
+      databases.send_line(1, "QUERY " + id + " FETCH k");
+      answer_correctly(databases, tx);
+      ASSERT_EQ(databases.take_output(1), "DATAROW of-" + id + "\r\nCOMPLETE st-" + id + "\r\nIDLE I -\r\n")
           << "round " << i;
-      ASSERT_LE(q.take_output(wild).size(), 4096u);
-      if (b.pick(10) == 0) q.engine.on_client_closed(wild), q.ended.insert(wild);
+      ASSERT_LE(databases.take_output(fuzzing_session).size(), 4096u);
+      if (generator.pick(10) == 0)
+        databases.engine.on_client_closed(fuzzing_session), databases.ended.insert(fuzzing_session);
     }
-    EXPECT_FALSE(q.ended.count(1));
+    EXPECT_FALSE(databases.ended.count(1));
   }
 }
 
-// Marks each statement of a client by the connection and the turn at which it is written.
-struct Marked : ManualDatabases {
+// Records for each statement of a client on which connection, and as which statement there, it was sent.
+struct RecordingDatabases : ManualDatabases {
   using ManualDatabases::ManualDatabases;
-  static std::string tag(ConnectionId conn, int turn) {
-    std::string s = std::to_string(conn) + "." + std::to_string(turn);
-    return s + "." + std::to_string(std::hash<std::string>()(s));
+  static std::string tag(ConnectionId conn, int statement) {
+    std::string text = std::to_string(conn) + "." + std::to_string(statement);
+    return text + "." + std::to_string(std::hash<std::string>()(text));
   }
-  static bool is_tag(const std::string& s) {  // not a mutated one
-    auto dot = s.rfind('.');
+  static bool is_tag(const std::string& text) {  // false for a mutated tag
+    auto dot = text.rfind('.');
     return dot != std::string::npos &&
-           s.substr(dot + 1) == std::to_string(std::hash<std::string>()(s.substr(0, dot)));
+           text.substr(dot + 1) == std::to_string(std::hash<std::string>()(text.substr(0, dot)));
   }
   void send_to_database(ConnectionId id, std::string bytes) override {
     ManualDatabases::send_to_database(id, bytes);
     std::string_view rest = connections[id].pending.back();
     if (sql_protocol::take(rest) != "QUERY") return;
     std::string name(sql_protocol::take(rest));
-    if (name != "-") marks[name].insert(tag(id, ++wrote[id]));
+    if (name != "-") tags[name].insert(tag(id, ++sent_count[id]));
   }
-  std::map<ConnectionId, int> wrote;
-  std::map<std::string, std::set<std::string>> marks;  // by statement
+  std::map<ConnectionId, int> sent_count;
+  std::map<std::string, std::set<std::string>> tags;  // by statement
 };
 
-// A database sends arbitrary lines. A client gets only whole answers, in order, and only lines that came
+// A database sends arbitrary lines. A client must get only whole answers, in order, and only lines that came
 // after its statement on the connection to which the statement was sent.
-TEST(Fuzz, ADatabasesBytesReachOnlyWhoAsked) {
-  long heard = 0, served = 0;
+TEST(Fuzz, OutputOfADatabaseReachesOnlyTheClientThatAsked) {
+  long answers = 0, served = 0;
   for (int i = 0; i < rounds(60); ++i) {
-    Bytes b(std::uint32_t(5000 + i));
-    Marked q(9);
-    q.feed();
-    q.lease(1000000);
-    q.answers_setup_by_hand = true;
+    InputGenerator generator(std::uint32_t(5000 + i));
+    RecordingDatabases databases(9);
+    databases.feed();
+    databases.lease(1000000);
+    databases.answers_setup_by_hand = true;
     struct Caller {
-      std::string mine;  // what it waits for; empty: nothing
+      std::string pending;  // the statement it waits for, if any
       std::string rows;
       bool outcome = false, open = false;
     };
     std::map<SessionId, Caller> callers;
-    for (SessionId s = 1; s <= 9; ++s) callers[s];
+    for (SessionId session = 1; session <= 9; ++session) callers[session];
     int last = 0;
     for (int n = 0; n < 250; ++n) {
-      for (auto& [s, c] : callers) {
-        if (q.ended.erase(s)) c = {};
-        if (!c.open) {
-          q.engine.on_client_closed(s);
-          q.connect(s, b.pick(2) ? "prim" : "bound");
-          q.take_output(s);
-          c.open = true;
-        } else if (c.mine.empty()) {
-          c.mine = "q" + std::to_string(++last);
-          q.send_line(s, "QUERY " + c.mine + (b.pick(2) ? " FETCH k" : " STORE k v"));
+      for (auto& [session, caller] : callers) {
+        if (databases.ended.erase(session)) caller = {};
+        if (!caller.open) {
+          databases.engine.on_client_closed(session);
+          databases.connect(session, generator.pick(2) ? "prim" : "bound");
+          databases.take_output(session);
+          caller.open = true;
+        } else if (caller.pending.empty()) {
+          caller.pending = "q" + std::to_string(++last);
+          databases.send_line(session,
+                              "QUERY " + caller.pending + (generator.pick(2) ? " FETCH k" : " STORE k v"));
         }
       }
       std::vector<ConnectionId> open;
-      for (auto& [conn, l] : q.connections)
-        if (l.open) open.push_back(conn);
-      for (auto conn : open) {
-        auto& l = q.connections[conn];
-        if (!l.open || b.pick(2)) continue;
-        if (!l.pending.empty() && l.pending.front().starts_with("CONNECT") && b.pick(8)) {
-          l.pending.clear();
-          q.read(conn, {"IDLE I 1.1"});
+      for (auto& [id, connection] : databases.connections)
+        if (connection.open) open.push_back(id);
+      for (auto id : open) {
+        auto& connection = databases.connections[id];
+        if (!connection.open || generator.pick(2)) continue;
+        if (!connection.pending.empty() && connection.pending.front().starts_with("CONNECT") &&
+            generator.pick(8)) {
+          connection.pending.clear();
+          databases.read(id, {"IDLE I 1.1"});
           continue;
         }
-        if (l.pending.empty() && b.pick(20)) continue;
-        l.pending.clear();
-        const std::string t = Marked::tag(conn, q.wrote[conn]);
-        std::vector<std::string> lines = {"DATAROW " + t, "COMPLETE " + t, "IDLE I 1.2"};
-        if (b.pick(4) == 0)
-          lines[std::size_t(b.pick(3))] = one_line(b.mutated(lines[std::size_t(b.pick(3))]));
-        if (b.pick(8) == 0) lines.insert(lines.begin() + b.pick(4), one_line(b.random(40)));
-        if (b.pick(8) == 0) lines.push_back(lines[std::size_t(b.pick(int(lines.size())))]);
-        if (b.pick(8) == 0) lines.insert(lines.end(), {"DATAROW " + t, "COMPLETE " + t, "IDLE I 1.2"});
-        if (b.pick(8) == 0) lines.erase(lines.begin() + b.pick(int(lines.size())));
-        q.read(conn, lines);
+        if (connection.pending.empty() && generator.pick(20)) continue;
+        connection.pending.clear();
+        const std::string tag = RecordingDatabases::tag(id, databases.sent_count[id]);
+        std::vector<std::string> lines = {"DATAROW " + tag, "COMPLETE " + tag, "IDLE I 1.2"};
+        if (generator.pick(4) == 0)
+          lines[std::size_t(generator.pick(3))] =
+              one_line(generator.mutated(lines[std::size_t(generator.pick(3))]));
+        if (generator.pick(8) == 0)
+          lines.insert(lines.begin() + generator.pick(4), one_line(generator.random(40)));
+        if (generator.pick(8) == 0) lines.push_back(lines[std::size_t(generator.pick(int(lines.size())))]);
+        if (generator.pick(8) == 0)
+          lines.insert(lines.end(), {"DATAROW " + tag, "COMPLETE " + tag, "IDLE I 1.2"});
+        if (generator.pick(8) == 0) lines.erase(lines.begin() + generator.pick(int(lines.size())));
+        databases.read(id, lines);
       }
-      q.advance(1 + b.pick(20));
-      for (auto& [s, c] : callers) {
-        std::string output = q.take_output(s);
+      databases.advance(1 + generator.pick(20));
+      for (auto& [session, caller] : callers) {
+        std::string output = databases.take_output(session);
         for (std::size_t nl; (nl = output.find("\r\n")) != std::string::npos; output.erase(0, nl + 2)) {
           std::string_view rest = std::string_view(output).substr(0, nl);
           auto word = sql_protocol::take(rest);
-          ASSERT_FALSE(c.mine.empty()) << "an answer to nothing: " << output.substr(0, nl);
+          ASSERT_FALSE(caller.pending.empty())
+              << "an answer although no statement was pending: " << output.substr(0, nl);
           if (word == "IDLE") {
-            ASSERT_TRUE(c.outcome);
-            c.mine.clear(), c.rows.clear();
-            c.outcome = false;
-            ++heard;
+            ASSERT_TRUE(caller.outcome);
+            caller.pending.clear(), caller.rows.clear();
+            caller.outcome = false;
+            ++answers;
             continue;
           }
-          ASSERT_FALSE(c.outcome) << "an answer goes on behind its outcome";
-          c.outcome = word != "DATAROW";
-          const std::string t(rest);
+          ASSERT_FALSE(caller.outcome) << "the answer goes on after its outcome";
+          caller.outcome = word != "DATAROW";
+          const std::string tag(rest);
           served += word == "COMPLETE";
-          bool tagged = (word == "DATAROW" || word == "COMPLETE") && Marked::is_tag(t);
-          ASSERT_TRUE(!tagged || q.marks[c.mine].count(t))
-              << "the answer to another: " << t << " for " << c.mine;
+          bool tagged = (word == "DATAROW" || word == "COMPLETE") && RecordingDatabases::is_tag(tag);
+          ASSERT_TRUE(!tagged || databases.tags[caller.pending].count(tag))
+              << "the answer to another statement: " << tag << " for " << caller.pending;
         }
-        ASSERT_FALSE(c.outcome) << "an answer without its end";
+        ASSERT_FALSE(caller.outcome) << "the answer has no end";
       }
-      ASSERT_LE(q.open_connections(), 3u * 9u);
+      ASSERT_LE(databases.open_connections(), 3u * 9u);
     }
   }
-  EXPECT_GT(heard, 1000);
-  EXPECT_GT(served, 500) << "hardly anything came through";
+  EXPECT_GT(answers, 1000);
+  EXPECT_GT(served, 500) << "too few statements were served";
 }
 
-// The lines between core, agent and proxy, with any field missing, of another type, or out of all bounds.
-TEST(Fuzz, InnerMessagesOfAnyShapeDoNoHarm) {
-  struct Ends : Relay::Port {
-    void send_to_controller(const std::string& line) override { core += line.size(); }
+// Lines between controller, agent and proxy with fields that are missing, of another type or out of range.
+TEST(Fuzz, InternalMessagesOfAnyShapeAreHandled) {
+  struct RecordingPort : Relay::Port {
+    void send_to_controller(const std::string& line) override { controller_bytes += line.size(); }
     void send_to_proxy(const std::string& line) override { proxy.push_back(line); }
     void on_renewal_sent() override {}
     void on_controller_list(const Json&) override {}
     void leave_controller() override { left = true; }
-    std::size_t core = 0;
+    std::size_t controller_bytes = 0;
     std::vector<std::string> proxy;
     bool left = false;
   };
   for (int i = 0; i < rounds(40); ++i) {
-    Bytes b(std::uint32_t(9000 + i));
-    Ends ends;
-    Relay relay(ends, "n", "z");
-    ManualDatabases q;
-    pooler::ControlFeed control_feed(q.engine);
-    q.feed();
-    q.lease(100);
-    control_feed.on_link_up(q.now);
-    q.connect(1);
-    q.engine.note_controller_clock(5, 70000);
-    auto value = [&]() -> Json {
-      switch (b.pick(12)) {
+    InputGenerator generator(std::uint32_t(9000 + i));
+    RecordingPort port;
+    Relay relay(port, "n", "z");
+    ManualDatabases databases;
+    pooler::ControlFeed control_feed(databases.engine);
+    databases.feed();
+    databases.lease(100);
+    control_feed.on_link_up(databases.now);
+    databases.connect(1);
+    databases.engine.note_controller_clock(5, 70000);
+    auto random_value = [&]() -> Json {
+      switch (generator.pick(12)) {
         case 0:
           return Json();
         case 1:
@@ -365,7 +379,7 @@
         case 4:
           return 1e300;
         case 5:
-          return Json::array({Json::array({"zz/" + b.random(4), 3, "v"})});
+          return Json::array({Json::array({"zz/" + generator.random(4), 3, "v"})});
         case 6:
           return Json::array({1, "x", Json()});
         case 7:
@@ -373,11 +387,11 @@
         case 8:
           return "s";
         case 9:
-          return q.now;
+          return databases.now;
         case 10:
           return "1.7";
         default:
-          return b.pick(2000);
+          return generator.pick(2000);
       }
     };
     const char* kinds[] = {"up",     "grant", "paid",  "depth", "avoid", "tight",
@@ -386,17 +400,19 @@
                             "c", "s", "sum",  "from",  "p",  "age", "id", "l"};
     std::size_t bytes = 0;
     for (int n = 0; n < 300; ++n) {
-      Json m = Json::object();
-      if (b.pick(20))
-        m["t"] = kinds[b.pick(int(std::size(kinds)))];
+      Json message = Json::object();
+      if (generator.pick(20))
+        message["t"] = kinds[generator.pick(int(std::size(kinds)))];
       else
-        m["t"] = value();
-      for (int f = b.pick(8); f > 0; --f) m[fields[b.pick(int(std::size(fields)))]] = value();
-      std::string line = m.dump(-1, ' ', false, Json::error_handler_t::replace);
-      if (b.pick(6) == 0) line = b.pick(3) ? one_line(b.mutated(line)) : b.random(80);
+        message["t"] = random_value();
+      for (int count = generator.pick(8); count > 0; --count)
+        message[fields[generator.pick(int(std::size(fields)))]] = random_value();
+      std::string line = message.dump(-1, ' ', false, Json::error_handler_t::replace);
+      if (generator.pick(6) == 0)
+        line = generator.pick(3) ? one_line(generator.mutated(line)) : generator.random(80);
       bytes += line.size();
-      control_feed.handle_line(q.now, line);
-      switch (b.pick(8)) {
+      control_feed.handle_line(databases.now, line);
+      switch (generator.pick(8)) {
         case 0:
           relay.on_proxy_line(line);
           break;
@@ -409,15 +425,16 @@
         default:
           relay.on_controller_line(line);
       }
-      if (ends.left || b.pick(10) == 0) relay.on_controller_up(), ends.left = false;
-      q.send_line(1, "QUERY a FETCH k");
-      q.advance(1);
-      q.serve();
-      for (auto& out : ends.proxy) {
-        ASSERT_LE(out.size(), 4 * bytes + 200) << "more is held than ever came in";
-        control_feed.handle_line(q.now, out.substr(0, out.size() - 1));
+      if (port.left || generator.pick(10) == 0) relay.on_controller_up(), port.left = false;
+      databases.send_line(1, "QUERY a FETCH k");
+      databases.advance(1);
+      databases.serve();
+      for (auto& out : port.proxy) {
+        ASSERT_LE(out.size(), 4 * bytes + 200)
+            << "a line to the proxy is longer than the input so far allows";
+        control_feed.handle_line(databases.now, out.substr(0, out.size() - 1));
       }
-      ends.proxy.clear();
+      port.proxy.clear();
     }
   }
 }
