--- a/tests/replication/replica_test.cc
+++ b/tests/replication/replica_test.cc
@@ -147,7 +147,7 @@
   }
 }
 
-TEST(Replica, KeepsWhatItAcknowledgedWhenDisksAreFullOrLostAndCoresReplaced) {
+TEST(Replica, KeepsAcknowledgedChangesWhenDisksFailAndReplicasAreReplaced) {
   for (std::uint32_t seed = 100; seed <= 120 && !testing::Test::HasFailure(); ++seed) {
     SCOPED_TRACE(seed);
     run_faults(seed, 3, 1, 9);
@@ -227,7 +227,7 @@
   EXPECT_EQ(cluster.read("core0", "k"), "v");
 }
 
-TEST(Replica, AReplacedCoreNeitherVotesNorLeadsWhenItComesBack) {
+TEST(Replica, AReplacedReplicaNeitherVotesNorLeadsWhenItReturns) {
   ReplicaCluster cluster(10);
   cluster.run(1500);
   ASSERT_EQ(cluster.submit("core1", "k", "", "v"), 200);
@@ -257,7 +257,7 @@
   EXPECT_TRUE(cluster.at("core1").is_leader(cluster.net.now));
 }
 
-TEST(Replica, ACoreWhoseDiskIsFullStepsOutAndComesBack) {
+TEST(Replica, AReplicaWithAFullDiskLeavesTheViewAndRejoins) {
   ReplicaCluster cluster(11);
   cluster.run(1500);
   cluster.cores["core2"]->disk.full = true;
