--- a/tests/pooler/engine_answers_test.cc
+++ b/tests/pooler/engine_answers_test.cc
@@ -182,7 +182,7 @@
   EXPECT_EQ(databases.connection_with("c"), 0u);
 }
 
-// An error in a transaction ends it, even if the database goes on with it: the client may begin again at
+// An error in a transaction ends it, even if the database continues it: the client may begin a new one at
 // once.
 TEST_F(PoolerAnswers, ATransactionDoesNotGoOnAfterAPromise) {
   databases.connect(1);
--- a/tests/pooler/session_cluster.cc
+++ b/tests/pooler/session_cluster.cc
@@ -127,7 +127,7 @@
     action();
   }
   timers_->run(now_);
-  for (auto& client : clients_) act(client);
+  for (auto& client : clients_) step_client(client);
   if (now_ % 300 == 0 && now_ >= lapse_until_) grant();
   if (now_ % 250 == 0) engine_->close_idle_connections();
   if (chance(faults_.lapse)) lapse_until_ = now_ + 1500;
@@ -143,7 +143,7 @@
   }
   if (chance(faults_.stray) && !connections_.empty()) {  // an answer without a request
     auto it = std::next(connections_.begin(), pick(int(connections_.size())));
-    if (it->second.open && it->second.answers_owed == 0) {
+    if (it->second.open && it->second.pending_answers == 0) {
       pooler::ConnectionId id = it->first;
       for (auto* line : {"DATAROW r", "COMPLETE stray", "IDLE I 1.1"})
         if (!chance(0.3)) engine_->on_database_line(id, line);
@@ -221,7 +221,7 @@
   for (int i = 0; i < 1300; ++i) step();
   EXPECT_EQ(engine_->session_count(), 0u);
   for (auto& [id, connection] : connections_)
-    EXPECT_TRUE(!connection.open || (connection.answers_owed == 0 && connection.state == 'I'))
+    EXPECT_TRUE(!connection.open || (connection.pending_answers == 0 && connection.state == 'I'))
         << "an unused connection has a pending answer or an open transaction";
 }
 
@@ -230,7 +230,7 @@
 void SessionSimulation::open_connection(pooler::ConnectionId id, const Endpoint& at) {
   auto& connection = connections_[id];
   connection.db = at.port - 1000;
-  connection.answers_owed = 1;
+  connection.pending_answers = 1;
   later(1 + pick(3), [this, id, incarnation = incarnation_] {
     if (incarnation == incarnation_ && connections_[id].open) engine_->on_connection_up(id);
   });
@@ -242,8 +242,8 @@
   for (auto& line : split(bytes)) {
     std::string_view rest = line;
     if (sql_protocol::take(rest) == "QUERY") {
-      ++connection.answers_owed;
-      EXPECT_EQ(connection.answers_owed, 1) << "a second statement before the first is answered";
+      ++connection.pending_answers;
+      EXPECT_EQ(connection.pending_answers, 1) << "a second statement before the first is answered";
       std::string statement_id(sql_protocol::take(rest));
       if (statement_id != "-") {
         auto sent = statements_.find(statement_id);
@@ -261,7 +261,7 @@
     later(delay, [this, id, incarnation = incarnation_, line] {
       if (incarnation != incarnation_ || connections_[id].lost) return;
       connections_[id].unread.push_back(line);
-      database_reads(id);
+      read_at_database(id);
     });
   }
 }
@@ -277,7 +277,7 @@
   later(3, [this, id, incarnation = incarnation_] {
     if (incarnation != incarnation_ || connections_[id].lost) return;
     connections_[id].unread.push_back("CLOSE");
-    database_reads(id);
+    read_at_database(id);
   });
 }
 
@@ -289,7 +289,7 @@
   } else {
     later(3, [this, id, incarnation = incarnation_] {
       if (incarnation == incarnation_ && !connections_[id].lost)
-        connections_[id].unread.push_back("CLOSE"), database_reads(id);
+        connections_[id].unread.push_back("CLOSE"), read_at_database(id);
     });
   }
   later(pick(3), [this, id, incarnation = incarnation_] {
@@ -299,12 +299,12 @@
   });
 }
 
-void SessionSimulation::database_reads(pooler::ConnectionId id) {
+void SessionSimulation::read_at_database(pooler::ConnectionId id) {
   auto& connection = connections_[id];
   Millis stall_end = databases_[std::size_t(connection.db)].stalled_until;
   if (stall_end > now_)
     return later(stall_end - now_, [this, id, incarnation = incarnation_] {
-      if (incarnation == incarnation_) database_reads(id);
+      if (incarnation == incarnation_) read_at_database(id);
     });
   while (!connection.lost && !connection.unread.empty()) {
     std::string line = std::move(connection.unread.front());
@@ -477,9 +477,9 @@
   auto& connection = connections_[id];
   if (chance(faults_.lost)) {
     if (chance(0.3)) return;
-    connection.last_out = std::max(connection.last_out, now_ + 100 + pick(2500));
+    connection.last_sent = std::max(connection.last_sent, now_ + 100 + pick(2500));
   }
-  connection.last_out = std::max(connection.last_out, now_ + 1 + pick(4));
+  connection.last_sent = std::max(connection.last_sent, now_ + 1 + pick(4));
   // A read may end anywhere before the end of the answer; lines behind the answer come in the same read as
   // its end.
   std::size_t cut = chance(0.3) && answer_size > 1 ? std::size_t(pick(int(answer_size))) : 0;
@@ -487,7 +487,7 @@
                      std::vector<std::string> part, bool last) {
     if (incarnation != incarnation_ || !connections_[id].open) return;
     if (last && answer_size > 0) {
-      --connections_[id].answers_owed;
+      --connections_[id].pending_answers;
       if (means_not_run(code)) statements_[statement_id].not_run = true;
     }
     for (auto& line : part)
@@ -498,9 +498,9 @@
                                       lines.begin() + std::ptrdiff_t(std::min(cut, lines.size())));
   lines.erase(lines.begin(), lines.begin() + std::ptrdiff_t(first_part.size()));
   if (!first_part.empty())
-    later(connection.last_out - now_, [pass_on, first_part] { pass_on(first_part, false); });
-  connection.last_out += first_part.empty() ? 0 : pick(3);
-  later(connection.last_out - now_, [pass_on, lines] { pass_on(lines, true); });
+    later(connection.last_sent - now_, [pass_on, first_part] { pass_on(first_part, false); });
+  connection.last_sent += first_part.empty() ? 0 : pick(3);
+  later(connection.last_sent - now_, [pass_on, lines] { pass_on(lines, true); });
 }
 
 }  // namespace pebblespindle::test
--- a/tests/pooler/session_cluster.h
+++ b/tests/pooler/session_cluster.h
@@ -1,5 +1,5 @@
 // A simulation around the pooler's engine with faults on connections at any moment: resets with bytes in
-// flight, databases that stall and go on, answers that are duplicated, truncated or invalid, clients that
+// flight, databases that stall and resume, answers that are duplicated, truncated or invalid, clients that
 // disconnect, promotions, lapsed leases, restarts of the agent and of the pooler. The records of the
 // databases and of the clients are kept separately and compared at each event.
 #pragma once
@@ -32,7 +32,7 @@
  public:
   SessionSimulation(std::uint32_t seed, SessionFaultRates faults);
   void step();
-  void stop_faults();  // stalled databases go on
+  void stop_faults();  // stalled databases resume
   void check_recovery();
   int served = 0, unknown = 0, refused_count = 0, commits = 0;
 
@@ -46,7 +46,7 @@
     pooler::ConnectionId at = 0;  // the connection it was last written to
     bool not_run = true;          // the pooler knows that nothing of it has run
   };
-  struct SentLine {
+  struct StatementAnswer {  // a line that a client has sent and what it has received of the answer
     std::string id, text;
     bool error = false, done = false;
     std::string code, stamp;
@@ -56,24 +56,24 @@
     int index = 0, transaction = 0, steps = 0;
     pooler::SessionId session = 0;
     bool open = false, failed = false;
-    std::deque<SentLine> unanswered;  // sent and not answered, in order
-    Names values, prepared;           // as the client set them, sent ones included
-    std::vector<std::string> writes;  // of the open transaction
+    std::deque<StatementAnswer> unanswered;  // sent and not answered, in order
+    Names values, prepared;                  // as the client set them, sent ones included
+    std::vector<std::string> writes;         // of the open transaction
     Millis next = 0, since = 0;
     std::string tenant;
   };
   struct DatabaseConnection {  // a connection, at its database
     int db = 0;
-    bool open = true,
-         lost = false;  // open: the pooler still has it; lost: the connection has ended at its database
+    // open: the pooler has not closed or lost it; lost: it has ended at its database
+    bool open = true, lost = false;
     std::string tenant;
     Names values, prepared, values_before, prepared_before;
     char state = 'I';
     int transaction = 0;
     std::vector<std::string> writes;
     std::deque<std::string> unread;  // not yet read by the database
-    Millis last_out = 0;
-    int answers_owed = 0;  // answers that the pooler has not received in full
+    Millis last_sent = 0;
+    int pending_answers = 0;  // answers that the pooler has not received in full
   };
   struct Database {
     std::string name;
@@ -101,7 +101,7 @@
   Instance instance(int db) const;
   void promote();
   void reset_connection(pooler::ConnectionId id);
-  void database_reads(pooler::ConnectionId id);
+  void read_at_database(pooler::ConnectionId id);
   void run(pooler::ConnectionId id, const std::string& line);
   std::string statement(DatabaseConnection& connection, Database& database, const std::string& statement_id,
                         std::string_view text, std::string& code, bool& wrote);
@@ -110,11 +110,11 @@
   void deliver(pooler::ConnectionId id, std::vector<std::string> lines, const std::string& statement_id,
                const std::string& code, std::size_t answer_size);
   void commit(const std::vector<std::string>& writes);
-  void act(Client& client);
+  void step_client(Client& client);
   void send_statement(Client& client, const std::string& text, bool write = false,
                       const std::string& shape = {});
   void receive(Client& client, std::string_view line);
-  void check_answer(Client& client, const SentLine& line, char state);
+  void check_answer(Client& client, const StatementAnswer& answer, char state);
   void reset_client(Client& client);
 
   // pooler::EngineCallbacks
--- a/tests/pooler/session_simulation_test.cc
+++ b/tests/pooler/session_simulation_test.cc
@@ -35,7 +35,7 @@
   client.next = now_ + 5 + pick(60);
 }
 
-void SessionSimulation::act(Client& client) {
+void SessionSimulation::step_client(Client& client) {
   if (!client.open) {
     if (now_ < client.next) return;
     client.session = ++last_session_;
@@ -134,7 +134,7 @@
     ADD_FAILURE() << "an answer without a request: " << line;
     return;
   }
-  SentLine& pending = client.unanswered.front();
+  StatementAnswer& pending = client.unanswered.front();
   auto word = sql_protocol::take(line);
   EXPECT_FALSE(word != "IDLE" && (pending.done || pending.error)) << "lines of an answer follow its outcome";
   if (word == "DATAROW") {
@@ -147,7 +147,7 @@
     pending.code = std::string(sql_protocol::take(line));
   } else {
     EXPECT_EQ(word, "IDLE");
-    SentLine answered = std::move(pending);
+    StatementAnswer answered = std::move(pending);
     client.unanswered.pop_front();
     client.since = now_;
     if (client.unanswered.empty())
@@ -156,25 +156,25 @@
   }
 }
 
-void SessionSimulation::check_answer(Client& client, const SentLine& line, char state) {
-  if (line.id == "connect") return;
-  const SentStatement& sent = statements_.at(line.id);
+void SessionSimulation::check_answer(Client& client, const StatementAnswer& answer, char state) {
+  if (answer.id == "connect") return;
+  const SentStatement& sent = statements_.at(answer.id);
   auto parsed = sql_protocol::parse_statement(sent.text);
-  EXPECT_TRUE(line.done || line.error);
-  if (line.done) {
+  EXPECT_TRUE(answer.done || answer.error);
+  if (answer.done) {
     ++served;
     if (sent.runs) {
-      auto execution = executions_.find(line.stamp);
+      auto execution = executions_.find(answer.stamp);
       if (execution == executions_.end()) {
-        ADD_FAILURE() << "MIXED: a stamp that no database issued: " << line.stamp << " for " << sent.text;
+        ADD_FAILURE() << "MIXED: a stamp that no database issued: " << answer.stamp << " for " << sent.text;
       } else {
-        EXPECT_EQ(execution->second.first, line.id) << "MIXED: the answer to another statement";
-        EXPECT_EQ(execution->second.second, line.rows) << "MIXED: other rows";
+        EXPECT_EQ(execution->second.first, answer.id) << "MIXED: the answer to another statement";
+        EXPECT_EQ(execution->second.second, answer.rows) << "MIXED: other rows";
       }
     } else {
-      EXPECT_TRUE(line.rows.empty());
+      EXPECT_TRUE(answer.rows.empty());
     }
-    EXPECT_TRUE(!sent.write || sent.transaction || committed_.count(line.id))
+    EXPECT_TRUE(!sent.write || sent.transaction || committed_.count(answer.id))
         << "acknowledged and not committed";
     for (auto& write : client.writes)
       EXPECT_TRUE(!sent.commit || committed_.count(write)) << "acknowledged and not committed";
@@ -184,20 +184,20 @@
               sent.transaction && !sent.commit && parsed.verb != sql_protocol::Verb::kRollback ? 'T' : 'I')
         << sent.text;
   } else {
-    unknown += line.code == "UNKNOWN";
-    if (sql_protocol::is_promise(line.code)) {
+    unknown += answer.code == "UNKNOWN";
+    if (sql_protocol::is_promise(answer.code)) {
       ++refused_count;
-      std::vector<std::string> ids = {line.id};
+      std::vector<std::string> ids = {answer.id};
       if (sent.transaction) ids = client.writes;
       for (auto& id : ids) {
         EXPECT_FALSE(committed_.count(id))
-            << "REFUSED: " << id << " is committed, but the client received " << line.code;
+            << "REFUSED: " << id << " is committed, but the client received " << answer.code;
         refused_as_not_run_.insert(id);
       }
-      if (sent.transaction) refused_as_not_run_.insert(line.id);
+      if (sent.transaction) refused_as_not_run_.insert(answer.id);
     }
-    EXPECT_NE(state, 'T') << "a transaction continues after " << line.code;
-    EXPECT_TRUE(sent.transaction || state == 'I') << sent.text << " " << line.code;
+    EXPECT_NE(state, 'T') << "a transaction continues after " << answer.code;
+    EXPECT_TRUE(sent.transaction || state == 'I') << sent.text << " " << answer.code;
   }
   client.failed = state == 'E';
   if (state == 'I') client.transaction = 0, client.writes.clear();
@@ -220,7 +220,7 @@
 }
 
 struct Totals {
-  long served = 0, unknown = 0, promised = 0, commits = 0;
+  long served = 0, unknown = 0, refused = 0, commits = 0;
 };
 
 void play(std::uint32_t seed, Totals& totals) {
@@ -231,7 +231,7 @@
   if (!testing::Test::HasFailure()) simulation.check_recovery();
   totals.served += simulation.served;
   totals.unknown += simulation.unknown;
-  totals.promised += simulation.refused_count;
+  totals.refused += simulation.refused_count;
   totals.commits += simulation.commits;
 }
 
@@ -247,8 +247,8 @@
   Totals totals;
   for (std::uint32_t seed = from; seed <= to && !HasFailure(); ++seed) play(seed, totals);
   RecordProperty("served", std::to_string(totals.served));
-  std::cout << "served " << totals.served << ", commits " << totals.commits << ", promises "
-            << totals.promised << ", unknown " << totals.unknown << "\n";
+  std::cout << "served " << totals.served << ", commits " << totals.commits << ", promises " << totals.refused
+            << ", unknown " << totals.unknown << "\n";
   EXPECT_GT(totals.served, 100 * long(to - from + 1)) << "too few statements were served";
   EXPECT_TRUE(to - from < 50 || totals.unknown > 0)
       << "no outcome was ever unknown: the faults have no effect";
