--- a/tests/pooler/engine_cluster.h
+++ b/tests/pooler/engine_cluster.h
@@ -185,7 +185,7 @@
     ++position.number;
     history.push_back({now, position});
     for (auto& write : writes)
-      EXPECT_TRUE(committed.insert(write).second) << "TWICE: " << write << " is committed a second time";
+      EXPECT_TRUE(committed.insert(write).second) << "TWICE: committed a second time: " << write;
     for (auto& write : writes)
       EXPECT_FALSE(promised.count(write))
           << "REFUSED: " << write << " is committed after the client was promised that it was not";
