--- a/tests/sidecar/overload_test.cc
+++ b/tests/sidecar/overload_test.cc
@@ -197,7 +197,7 @@
     int tries_left = 0;
   };
   std::map<CallId, Client> clients;
-  std::map<CallId, std::function<void(int status)>> database_calls;  // calls of databases
+  std::map<CallId, std::function<void(int status)>> database_calls;  // callbacks of calls by databases
   CallId last_call = 0;
   Millis measured_from = 0, measured_until = 0;
   Load load;
