--- a/src/pooler/control_feed.h
+++ b/src/pooler/control_feed.h
@@ -18,8 +18,8 @@
 
  private:
   bool requested_on_this_link(Millis now, Millis at) const { return at >= link_up_at_ && at <= now; }
-  void apply_grant(Millis now, const Json& m);
-  void apply_position(Millis now, const Json& m);
+  void apply_grant(Millis now, const Json& message);
+  void apply_position(Millis now, const Json& message);
   Engine& engine_;
   Millis link_up_at_ = 0;
   quota::HolderId controller_;
--- a/src/pooler/engine.cc
+++ b/src/pooler/engine.cc
@@ -184,29 +184,29 @@
   if (word == "CLOSE") return close_session(session.id);
   if (word != "QUERY") return fail_statement(session, "MALFORMED", "not a message of a session");
   auto id = sql_protocol::take(line);
-  auto st = sql_protocol::parse_statement(line);
-  if (id.empty() || st.verb == Verb::kBad) return fail_statement(session, "MALFORMED", "not a statement");
+  auto parsed = sql_protocol::parse_statement(line);
+  if (id.empty() || parsed.verb == Verb::kBad) return fail_statement(session, "MALFORMED", "not a statement");
   if (session.state == 'E') {
-    if (st.verb == Verb::kRollback) {
+    if (parsed.verb == Verb::kRollback) {
       end_transaction(session, 'I');
       return send_answer(session, "COMPLETE -\r\n");
     }
-    if (st.verb == Verb::kCommit) {
+    if (parsed.verb == Verb::kCommit) {
       end_transaction(session, 'I');
       return send_answer(session,
                          sql_protocol::error("ABORTED", "the transaction had failed and is rolled back"));
     }
     return fail_statement(session, "MALFORMED", "the transaction has failed; end it first");
   }
-  if (late && st.verb != Verb::kRollback) return refuse_late(session, st.verb);
-  switch (st.verb) {
+  if (late && parsed.verb != Verb::kRollback) return refuse_late(session, parsed.verb);
+  switch (parsed.verb) {
     case Verb::kBegin: {
       if (session.state == 'T') return fail_statement(session, "MALFORMED", "a transaction is open");
       session.route = cluster_.route(session.host);
       if (!session.route) return fail_no_route(session);
       if (!authorize(session)) return fail_statement(session, "DENIED", "the key is not known");
       session.state = 'T';
-      session.tx_read_only = st.read_only;
+      session.tx_read_only = parsed.read_only;
       session.tx_answered = session.tx_wrote = session.tx_lost = false;
       return send_answer(session, "COMPLETE -\r\n");  // sent to a database with the first statement
     }
@@ -216,13 +216,13 @@
       return send_answer(session, "COMPLETE -\r\n");
     case Verb::kCommit:
       if (session.state != 'T') return fail_statement(session, "MALFORMED", "no transaction is open");
-      return start_statement(session, id, line, st);
+      return start_statement(session, id, line, parsed);
     case Verb::kConfigure:
     case Verb::kPrepare:
     case Verb::kRelease:
-      return handle_local_statement(session, st);
+      return handle_local_statement(session, parsed);
     default:
-      return start_statement(session, id, line, st);
+      return start_statement(session, id, line, parsed);
   }
 }
 
@@ -237,28 +237,28 @@
               sql_protocol::error("ABORTED", "this node is ending; nothing of the transaction is kept"));
 }
 
-void Engine::handle_local_statement(Session& session, const sql_protocol::Statement& st) {
-  std::string name(st.name);
+void Engine::handle_local_statement(Session& session, const sql_protocol::Statement& parsed) {
+  std::string name(parsed.name);
   bool room = session.values.size() + session.prepared.size() < kMaxSessionValues;
   auto value = session.values.find(name);
   auto shape = session.prepared.find(name);
-  bool configure = st.verb == Verb::kConfigure,
+  bool configure = parsed.verb == Verb::kConfigure,
        fresh = configure ? value == session.values.end() : shape == session.prepared.end();
   std::size_t old = fresh ? 0 : name.size() + (configure ? value->second.size() : shape->second.shape.size());
-  if (st.verb == Verb::kRelease) {
+  if (parsed.verb == Verb::kRelease) {
     if (fresh) return fail_statement(session, "NOTFOUND", name);
     session.stored_bytes -= old;
     session.prepared.erase(shape);
     return send_answer(session, "COMPLETE -\r\n");
   }
-  std::size_t kept = session.stored_bytes - old + name.size() + st.rest.size();
+  std::size_t kept = session.stored_bytes - old + name.size() + parsed.rest.size();
   if ((fresh && !room) || kept > kMaxSessionBytes)
     return fail_statement(session, "MALFORMED", "too many values or prepared names in one session");
   session.stored_bytes = kept;
   if (configure)
-    session.values[name] = std::string(st.rest);
+    session.values[name] = std::string(parsed.rest);
   else
-    session.prepared[name] = {st.read_only, std::string(st.rest)};
+    session.prepared[name] = {parsed.read_only, std::string(parsed.rest)};
   send_answer(session, "COMPLETE -\r\n");
 }
 
@@ -309,21 +309,21 @@
 }
 
 void Engine::start_statement(Session& session, std::string_view id, std::string_view text,
-                             const sql_protocol::Statement& st) {
+                             const sql_protocol::Statement& parsed) {
   if (session.tx_lost) {
-    bool commit = st.verb == Verb::kCommit;
+    bool commit = parsed.verb == Verb::kCommit;
     end_transaction(session, commit ? 'I' : 'E');
     return send_answer(session,
                        sql_protocol::error("ABORTED", "the transaction was ended and nothing of it is kept"));
   }
   StatementState statement;
-  statement.read = st.verb == Verb::kFetch;
-  if (st.verb == Verb::kExecute) {
-    auto prepared = session.prepared.find(std::string(st.name));
-    if (prepared == session.prepared.end()) return fail_statement(session, "NOTFOUND", st.name);
+  statement.read = parsed.verb == Verb::kFetch;
+  if (parsed.verb == Verb::kExecute) {
+    auto prepared = session.prepared.find(std::string(parsed.name));
+    if (prepared == session.prepared.end()) return fail_statement(session, "NOTFOUND", parsed.name);
     statement.read = prepared->second.read;
     statement.prepared_shape = prepared->second.shape;
-    statement.execute_arguments = std::string(st.rest);
+    statement.execute_arguments = std::string(parsed.rest);
   }
   if (session.state == 'I') {
     session.route = cluster_.route(session.host);
@@ -335,7 +335,7 @@
   statement.active = true;
   statement.id = std::string(id);
   statement.text = std::string(text);
-  statement.verb = st.verb;
+  statement.verb = parsed.verb;
   statement.started_at = now_;
   statement.deadline = now_ + session.route->timeout_ms;
   session.statement = std::move(statement);
--- a/src/pooler/engine.h
+++ b/src/pooler/engine.h
@@ -251,78 +251,79 @@
   // sessions
   void complete_connect(SessionId id);
   void close_resting_sessions();
-  void resume_session(Session& s);
+  void resume_session(Session& session);
   void process_lines(SessionId id);
   void close_if_done(SessionId id);
-  void handle_line(Session& s, std::string_view line, bool late);
-  void refuse_late(Session& s, sql_protocol::Verb verb);
-  void send_answer(Session& s, std::string body);  // body, then IDLE in the session's state
-  void fail_statement(Session& s, std::string_view code, std::string_view text);
-  void fail_no_route(Session& s);
+  void handle_line(Session& session, std::string_view line, bool late);
+  void refuse_late(Session& session, sql_protocol::Verb verb);
+  void send_answer(Session& session, std::string body);  // body, then IDLE in the session's state
+  void fail_statement(Session& session, std::string_view code, std::string_view text);
+  void fail_no_route(Session& session);
   std::pair<std::string, std::string> no_route_error(const std::string& host) const;
-  void handle_local_statement(Session& s, const sql_protocol::Statement& st);
-  void start_statement(Session& s, std::string_view id, std::string_view text,
-                       const sql_protocol::Statement& st);
-  void clear_statement(Session& s);
-  void end_transaction(Session& s, char state);
+  void handle_local_statement(Session& session, const sql_protocol::Statement& parsed);
+  void start_statement(Session& session, std::string_view id, std::string_view text,
+                       const sql_protocol::Statement& parsed);
+  void clear_statement(Session& session);
+  void end_transaction(Session& session, char state);
   void close_session(SessionId id);
-  void detach_connection(Connection& c);
-  void discard_transaction(Session& s);
-  bool authorize(Session& s);
+  void detach_connection(Connection& connection);
+  void discard_transaction(Session& session);
+  bool authorize(Session& session);
   void charge_quota(SessionId id);
 
   // routing
   Millis drain_start() const;
   void note_state_known();
   bool has_lease() const { return now_ < lease_until_ && cluster_.sequence() >= lease_sequence_; }
-  bool usable(const Instance& i) const;
-  RoutingDecision choose_database(Session& s);
+  bool usable(const Instance& instance) const;
+  RoutingDecision choose_database(Session& session);
   RoutingDecision choose_primary(const std::string& service);
   double recent_latency(const InstanceId& id, const std::string& route) const;
   void route_statement(SessionId id);
-  void await_primary(Session& s, const std::string& service);
+  void await_primary(Session& session, const std::string& service);
   void resume_waiting_for_primary(const std::string& service);
   bool should_request_position(const std::string& service, const RoutingDecision& primary) const;
-  void await_position(Session& s, const std::string& service);
-  void refuse_statement(Session& s, const std::string& code, const std::string& why);
+  void await_position(Session& session, const std::string& service);
+  void refuse_statement(Session& session, const std::string& code, const std::string& why);
   bool is_primary_unreachable(const std::string& service) const;
-  Millis wait_limit(const Session& s) const;
-  bool may_send_update(Session& s, const InstanceId& primary);
+  Millis wait_limit(const Session& session) const;
+  bool may_send_update(Session& session, const InstanceId& primary);
   bool may_confirm_commits(const std::string& service, const InstanceId& id) const;
 
   // connection pools
-  void acquire_connection(Session& s, const InstanceId& id);
-  static const std::string& connection_owner(const Session& s);
+  void acquire_connection(Session& session, const InstanceId& id);
+  static const std::string& connection_owner(const Session& session);
   void open_or_evict(const InstanceId& id);
   void start_connection(const InstanceId& id);
   double fair_share(const InstanceId& id) const;
   std::size_t connection_share(const InstanceId& id) const;
-  Millis idle_timeout(const InstanceId& id, const Pool& p) const;
+  Millis idle_timeout(const InstanceId& id, const Pool& pool) const;
   void on_connection_limit(const InstanceId& id);
   void assign_idle_connections(const InstanceId& id);
-  void return_connection(Connection& c);
+  void return_connection(Connection& connection);
   void block_database(const InstanceId& id);
   void extend_block(const InstanceId& id);
   void probe_database(const InstanceId& id);
   void unblock_database(const InstanceId& id);
-  Millis soft_timeout(const InstanceId& id, const Session& s) const;
+  Millis soft_timeout(const InstanceId& id, const Session& session) const;
   void discard_connection(ConnectionId id, bool orderly);
   void reroute_waiting(const InstanceId& id);
 
   // execution
-  void dispatch(Session& s, Connection& c);
-  void send_next_step(Connection& c);
-  bool handle_answer_line(Connection& c, std::string_view word, std::string_view line, std::string_view rest);
-  bool finish_step(Connection& c, const sql_protocol::Idle& idle);
-  bool is_expected_state(const Connection& c, char state) const;
-  void on_setup_error(Connection& c, char state);
-  void finish_statement(Connection& c, const sql_protocol::Idle& idle);
-  void on_statement_lost(Session& s, bool sent);
+  void dispatch(Session& session, Connection& connection);
+  void send_next_step(Connection& connection);
+  bool handle_answer_line(Connection& connection, std::string_view word, std::string_view line,
+                          std::string_view rest);
+  bool finish_step(Connection& connection, const sql_protocol::Idle& idle);
+  bool is_expected_state(const Connection& connection, char state) const;
+  void on_setup_error(Connection& connection, char state);
+  void finish_statement(Connection& connection, const sql_protocol::Idle& idle);
+  void on_statement_lost(Session& session, bool sent);
   void record_result(const InstanceId& id, bool good, Millis took);
   void on_soft_timeout(SessionId id);
   void on_deadline(SessionId id);
-  void abort_statement(Session& s, std::string_view why_not_sent);
-  bool may_retry(const Session& s) const;
+  void abort_statement(Session& session, std::string_view why_not_sent);
+  bool may_retry(const Session& session) const;
   Session* find_session(SessionId id);
   Connection* find_connection(ConnectionId id);
 
--- a/src/pooler/engine_statements.cc
+++ b/src/pooler/engine_statements.cc
@@ -226,12 +226,12 @@
   }
   std::string text = std::move(connection.setup_steps.front());
   connection.setup_steps.pop_front();
-  auto st = sql_protocol::parse_statement(text);
-  if (st.verb == Verb::kConfigure) {
-    connection.values[std::string(st.name)] = std::string(st.rest);
+  auto parsed = sql_protocol::parse_statement(text);
+  if (parsed.verb == Verb::kConfigure) {
+    connection.values[std::string(parsed.name)] = std::string(parsed.rest);
     if (connection.in_tx) connection.tx_configured = true;
-  } else if (st.verb == Verb::kPrepare) {
-    connection.prepared[std::string(st.rest)] = std::string(st.name);
+  } else if (parsed.verb == Verb::kPrepare) {
+    connection.prepared[std::string(parsed.rest)] = std::string(parsed.name);
     if (connection.in_tx) connection.tx_configured = true;
   } else if (text == "RESET") {
     connection.values_unknown = false;
@@ -317,14 +317,14 @@
   if (wrote && connection.error_code.empty() && !may_confirm_commits(connection.service, connection.instance))
     return on_connection_lost(connection.id, false, false);
   std::string code = std::move(connection.error_code), text = std::move(connection.error_text);
-  bool tx = session->state == 'T';
-  bool movable = !tx || !session->tx_answered;
+  bool in_transaction = session->state == 'T';
+  bool movable = !in_transaction || !session->tx_answered;
   bool again = not_run(code) || (code == "EXECFAILED" && statement.read);  // a failed read may run elsewhere
   if (!code.empty() && again && movable && may_retry(*session)) {
     if (code == "LAGGING") pool.lagging_until = now_ + kLaggingAvoidMs;
     if (code == "NOTFOUND") connection.prepared.clear(), connection.values_unknown = true;
     if (code != "NOTFOUND") statement.tried.push_back(connection.instance);
-    if (tx && !statement.read) session->tx_wrote = false;
+    if (in_transaction && !statement.read) session->tx_wrote = false;
     session->conn = 0;
     connection.session = 0;
     SessionId sid = session->id;
@@ -348,7 +348,7 @@
     if (code == "LAGGING") pool.lagging_until = now_ + kLaggingAvoidMs;
     body = sql_protocol::error(code, text);
   }
-  char state = tx ? idle.state : 'I';
+  char state = in_transaction ? idle.state : 'I';
   if (!code.empty() && state == 'T') state = 'E';  // after any error nothing of the transaction is kept
   clear_statement(*session);
   SessionId sid = session->id;
@@ -375,7 +375,7 @@
   } else if (connection.in_tx) {
     send_next_step(connection);
   } else {
-    return_connection(connection);  // may close the connection: c is not used afterwards
+    return_connection(connection);  // may close the connection: `connection` is not used afterwards
   }
   if (Session* live_session = find_session(sid)) resume_session(*live_session);
 }
@@ -388,21 +388,21 @@
 // client.
 void Engine::on_statement_lost(Session& session, bool sent) {
   StatementState& statement = session.statement;
-  bool tx = session.state == 'T';
-  bool movable = !tx || !session.tx_answered;
+  bool in_transaction = session.state == 'T';
+  bool movable = !in_transaction || !session.tx_answered;
   timers_.cancel(statement.soft_timer);
   if ((!sent || statement.read) && movable && may_retry(session)) return route_statement(session.id);
   SessionId id = session.id;
   Verb verb = statement.verb;
   if (session.route) ++route_counts_[session.route->name].failed;
-  bool unsure = sent && (verb == Verb::kCommit ? session.tx_wrote : !tx && !statement.read);
+  bool unsure = sent && (verb == Verb::kCommit ? session.tx_wrote : !in_transaction && !statement.read);
   clear_statement(session);
   if (unsure) {
     session.state = 'I';
     session.route = nullptr;
     send_answer(session,
                 sql_protocol::error("UNKNOWN", "the database gave no answer; the write may be kept or not"));
-  } else if (tx) {
+  } else if (in_transaction) {
     end_transaction(session, verb == Verb::kCommit ? 'I' : 'E');
     send_answer(session, sql_protocol::error("ABORTED",
                                              "the database was lost and nothing of the transaction is kept"));
@@ -433,8 +433,8 @@
     callbacks_.report_failure(instance, silent ? EngineCallbacks::FailureKind::kNoAnswers
                                                : EngineCallbacks::FailureKind::kSingleTimeout);
   }
-  bool tx = session->state == 'T';
-  bool movable = !tx || !session->tx_answered;
+  bool in_transaction = session->state == 'T';
+  bool movable = !in_transaction || !session->tx_answered;
   bool elsewhere = statement.read && movable && may_retry(*session);
   if (!elsewhere && !statement.soft_timeout_extended) {
     statement.soft_timeout_extended = true;
@@ -447,7 +447,7 @@
     if (silent) block_database(instance);
     return;
   }
-  if (tx && statement.verb != Verb::kCommit && !elsewhere) {
+  if (in_transaction && statement.verb != Verb::kCommit && !elsewhere) {
     // COMMIT has not been sent, so closing the connection rolls the transaction back and the client may retry
     // it.
     ConnectionId conn = session->conn;
--- a/src/pooler/pooler.cc
+++ b/src/pooler/pooler.cc
@@ -27,8 +27,8 @@
 
 class Pooler : public pooler::EngineCallbacks {
  public:
-  explicit Pooler(Settings s)
-      : settings_(std::move(s)),
+  explicit Pooler(Settings settings)
+      : settings_(std::move(settings)),
         engine_(*this, loop_.timers(), settings_.zone, settings_.drain_ms, std::random_device{}()) {}
 
   int run() {
@@ -38,21 +38,23 @@
       log_.say("The settings have no Frontend or no Readiness listener.");
       return 1;
     }
-    auto http = HttpServer::listen(loop_.io(), ready->second, [this](const HttpRequest& r, HttpDone done) {
-      if (r.path != "/readiness") return done({404, "", {}});
-      update_time();
-      done({engine_.ready() ? 200 : 503, "", {}});
-    });
+    auto http =
+        HttpServer::listen(loop_.io(), ready->second, [this](const HttpRequest& request, HttpDone done) {
+          if (request.path != "/readiness") return done({404, "", {}});
+          update_time();
+          done({engine_.ready() ? 200 : 503, "", {}});
+        });
     if (!http) return fail_startup(http.status().message());
     readiness_server_ = std::move(*http);
-    auto clients = Acceptor::listen(loop_.io(), frontend->second,
-                                    [this](asio::ip::tcp::socket s) { accept_client(std::move(s)); });
+    auto clients = Acceptor::listen(loop_.io(), frontend->second, [this](asio::ip::tcp::socket socket) {
+      accept_client(std::move(socket));
+    });
     if (!clients) return fail_startup(clients.status().message());
     acceptor_ = std::move(*clients);
     loop_.on_signal(SIGTERM, [this] { begin_shutdown(); });
     loop_.on_signal(SIGHUP, [this] {
-      auto s = load_settings(settings_path());
-      log_.say(s ? "Settings reloaded." : "Settings not reloaded: " + s.status().message());
+      auto reloaded = load_settings(settings_path());
+      log_.say(reloaded ? "Settings reloaded." : "Settings not reloaded: " + reloaded.status().message());
     });
     log_.say("Pooler " + settings_.node_name + " listens on " + frontend->second.text() + ".");
     loop_.every(kNodeRenewalMs, [this] { send_renewal(); });
@@ -150,9 +152,9 @@
       log_.say("Database " + id.value + (refused ? " refuses connections." : " gives no answers."));
     last = {now, single_timeout};
     if (!agent_link_.up()) return;
-    Json m{{"t", "sus"}, {"id", id.value}, {"r", refused}};
-    if (single_timeout) m["once"] = true;
-    agent_link_.send(m);
+    Json message{{"t", "sus"}, {"id", id.value}, {"r", refused}};
+    if (single_timeout) message["once"] = true;
+    agent_link_.send(message);
   }
   void request_quota(const std::string& tenant, quota::Rights want) override {
     if (!agent_link_.up()) return;
@@ -243,10 +245,10 @@
     update_time();
     if (!agent_link_.up()) return;
     acknowledged_ = engine_.acknowledged_sequence();
-    Json m{{"t", "renew"}, {"at", loop_.now()}, {"ack", acknowledged_}};
+    Json message{{"t", "renew"}, {"at", loop_.now()}, {"ack", acknowledged_}};
     if (Json positions = engine_.take_observed_positions(); !positions.is_null())
-      m["met"] = std::move(positions);
-    agent_link_.send(m);
+      message["met"] = std::move(positions);
+    agent_link_.send(message);
     // An acknowledgement that waits for running statements is sent as soon as they have ended.
     if (acknowledged_ < engine_.cluster().sequence() && !acknowledgement_poll_pending_)
       poll_acknowledgement();
@@ -359,7 +361,7 @@
 };
 
 int run_pooler() {
-  return run_role("pooler", [](Settings s) { return Pooler(std::move(s)).run(); });
+  return run_role("pooler", [](Settings settings) { return Pooler(std::move(settings)).run(); });
 }
 
 const RegisterCommand kPoolerCommand("pooler", "serves client sessions on an edge machine", run_pooler);
--- a/src/sidecar/call.cc
+++ b/src/sidecar/call.cc
@@ -20,10 +20,11 @@
       }
   HttpFields out;
   for (auto& field : fields) {
-    auto is = [&](std::string_view name) { return same_name(field.first, name); };
-    bool drop = is("Connection") || is("Keep-Alive") || is("Proxy-Connection") || is("TE") || is("Trailer") ||
-                is("Transfer-Encoding") || is("Upgrade") || is("Content-Length") || is("Expect");
-    for (auto& name : connection_fields) drop = drop || is(name);
+    auto is_named = [&](std::string_view name) { return same_name(field.first, name); };
+    bool drop = is_named("Connection") || is_named("Keep-Alive") || is_named("Proxy-Connection") ||
+                is_named("TE") || is_named("Trailer") || is_named("Transfer-Encoding") ||
+                is_named("Upgrade") || is_named("Content-Length") || is_named("Expect");
+    for (auto& name : connection_fields) drop = drop || is_named(name);
     if (!drop) out.push_back(field);
   }
   return out;
@@ -58,9 +59,9 @@
   Reply reply;
   reply.status = status;
   if (retry_after_ms >= 0) {
-    std::string ms = std::to_string(retry_after_ms % 1000);
-    reply.fields.emplace_back(
-        "Retry-After", std::to_string(retry_after_ms / 1000) + "." + std::string(3 - ms.size(), '0') + ms);
+    std::string milliseconds = std::to_string(retry_after_ms % 1000);
+    reply.fields.emplace_back("Retry-After", std::to_string(retry_after_ms / 1000) + "." +
+                                                 std::string(3 - milliseconds.size(), '0') + milliseconds);
   }
   return reply;
 }
--- a/src/sidecar/frame.cc
+++ b/src/sidecar/frame.cc
@@ -13,8 +13,8 @@
  public:
   using Dom = nlohmann::detail::json_sax_dom_parser<Json>;
   explicit DepthLimitedParser(Json& out) : Dom(out, false) {}
-  bool start_object(std::size_t n) { return ++depth_ <= kMaxFrameDepth && Dom::start_object(n); }
-  bool start_array(std::size_t n) { return ++depth_ <= kMaxFrameDepth && Dom::start_array(n); }
+  bool start_object(std::size_t size) { return ++depth_ <= kMaxFrameDepth && Dom::start_object(size); }
+  bool start_array(std::size_t size) { return ++depth_ <= kMaxFrameDepth && Dom::start_array(size); }
   bool end_object() { return --depth_, Dom::end_object(); }
   bool end_array() { return --depth_, Dom::end_array(); }
 
@@ -63,12 +63,14 @@
   return it != frame.end() && it->is_boolean() && it->get<bool>();
 }
 
-bool is_single_line(std::string_view s) {
-  return std::none_of(s.begin(), s.end(), [](char c) { return c == '\r' || c == '\n' || c == '\0'; });
+bool is_single_line(std::string_view text) {
+  return std::none_of(text.begin(), text.end(), [](char character) {
+    return character == '\r' || character == '\n' || character == '\0';
+  });
 }
 
-bool is_single_word(std::string_view s) {
-  return !s.empty() && is_single_line(s) && s.find_first_of(" \t") == std::string_view::npos;
+bool is_single_word(std::string_view text) {
+  return !text.empty() && is_single_line(text) && text.find_first_of(" \t") == std::string_view::npos;
 }
 
 }  // namespace pebblespindle::sidecar
--- a/src/sidecar/frame.h
+++ b/src/sidecar/frame.h
@@ -23,7 +23,7 @@
 
 // Whether the text can be written as a field value, or as a word, into the head of an HTTP message without
 // starting another line or word.
-bool is_single_line(std::string_view s);
-bool is_single_word(std::string_view s);
+bool is_single_line(std::string_view text);
+bool is_single_word(std::string_view text);
 
 }  // namespace pebblespindle::sidecar
--- a/src/sidecar/outbound.cc
+++ b/src/sidecar/outbound.cc
@@ -151,10 +151,10 @@
   const Instance* best = nullptr;
   double best_load = 0;
   for (auto* list : {&same_zone, &other_zones}) {
-    for (std::size_t n = 0; n < std::min(list->size(), kCandidatesPerZone); ++n) {
-      std::swap((*list)[n], (*list)[n + rng_() % (list->size() - n)]);
-      double candidate_load = load(*(*list)[n], databases_[(*list)[n]->id]);
-      if (!best || candidate_load < best_load) best = (*list)[n], best_load = candidate_load;
+    for (std::size_t index = 0; index < std::min(list->size(), kCandidatesPerZone); ++index) {
+      std::swap((*list)[index], (*list)[index + rng_() % (list->size() - index)]);
+      double candidate_load = load(*(*list)[index], databases_[(*list)[index]->id]);
+      if (!best || candidate_load < best_load) best = (*list)[index], best_load = candidate_load;
     }
   }
   return best;
@@ -191,12 +191,12 @@
   ++database.in_flight;
   ++pending.databases_reached;
   ++pending.possible_runs;
-  std::uint64_t n = ++last_attempt_;
-  attempts_[n] = {id, instance.id, instance.address, now_};
-  pending.open_attempts.insert(n);
+  std::uint64_t attempt_id = ++last_attempt_;
+  attempts_[attempt_id] = {id, instance.id, instance.address, now_};
+  pending.open_attempts.insert(attempt_id);
   pending.tried.insert(instance.id);
   Json frame{{"t", "q"},
-             {"n", n},
+             {"n", attempt_id},
              {"i", instance.id.value},
              {"m", pending.call.method},
              {"u", pending.call.target},
@@ -263,10 +263,10 @@
   const std::string type = text_field(frame, "t");
   if (type != "no" && type != "fail" && type != "a") return;
   Attempt attempt = it->second;
-  const std::uint64_t n = it->first;
+  const std::uint64_t attempt_id = it->first;
   if (frame.contains("l")) record_load(attempt.instance, frame["l"]);
   PendingCall* pending = find_call(attempt.call_id);
-  close_attempt(n, attempt);
+  close_attempt(attempt_id, attempt);
   attempts_.erase(it);
   if (!pending) return;
   CallId id = attempt.call_id;
@@ -366,10 +366,10 @@
 // Withdraws all attempts without an outcome. An offer that had not left this machine has not run and will
 // not.
 void Outbound::withdraw_attempts(PendingCall& pending) {
-  for (auto n : std::exchange(pending.open_attempts, {})) {
-    auto it = attempts_.find(n);
+  for (auto attempt_id : std::exchange(pending.open_attempts, {})) {
+    auto it = attempts_.find(attempt_id);
     if (it == attempts_.end()) continue;
-    if (port_.withdraw(it->second.address, n)) --pending.databases_reached, --pending.possible_runs;
+    if (port_.withdraw(it->second.address, attempt_id)) --pending.databases_reached, --pending.possible_runs;
     auto& database = databases_[it->second.instance];
     if (database.in_flight > 0) --database.in_flight;
     attempts_.erase(it);
@@ -399,13 +399,13 @@
   shutting_down_peers_.erase(at);
   unreachable_[at].extend(now_);
   std::vector<std::uint64_t> lost;
-  for (auto& [n, attempt] : attempts_)
-    if (attempt.address == at) lost.push_back(n);
-  for (auto n : lost) {
-    auto it = attempts_.find(n);
+  for (auto& [attempt_id, attempt] : attempts_)
+    if (attempt.address == at) lost.push_back(attempt_id);
+  for (auto attempt_id : lost) {
+    auto it = attempts_.find(attempt_id);
     if (it == attempts_.end()) continue;
     Attempt attempt = it->second;
-    close_attempt(n, attempt);
+    close_attempt(attempt_id, attempt);
     attempts_.erase(it);
     PendingCall* pending = find_call(attempt.call_id);
     if (!pending) continue;
--- a/src/sidecar/retry_budget.h
+++ b/src/sidecar/retry_budget.h
@@ -23,9 +23,9 @@
   }
   // Whether one more request may be sent to a second database. If so, it is counted.
   bool try_spend(Millis now) {
-    Slot& s = slot(now);
+    Slot& current = slot(now);
     if (double(retries_ + 1) > ratio_ * double(first_attempts_) + slack_) return false;
-    ++s.retries;
+    ++current.retries;
     ++retries_;
     return true;
   }
@@ -42,9 +42,9 @@
       retries_ -= slots_.front().retries;
       slots_.pop_front();
     }
-    for (auto& s : slots_) {
-      if (s.at + window_ms_ > now) break;
-      first_attempts_ -= std::exchange(s.first_attempts, 0);
+    for (auto& entry : slots_) {
+      if (entry.at + window_ms_ > now) break;
+      first_attempts_ -= std::exchange(entry.first_attempts, 0);
     }
     if (slots_.empty() || now >= slots_.back().at + kRetryBudgetSlotMs)
       slots_.push_back({now / kRetryBudgetSlotMs * kRetryBudgetSlotMs, 0, 0});
